--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -10,7 +10,7 @@
 
 use fennelgauge_coordination::{Identity, Record, Stored, Version};
 use fennelgauge_settings::Settings;
-use fennelgauge_versions::{Folder, Newest, VersionName, VersionsError};
+use fennelgauge_versions::{NewestVersion, VersionDirectory, VersionName, VersionsError};
 use fennelgauge_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
@@ -108,10 +108,10 @@
 
 /// The folders, and what is in them.
 struct Writer {
-    identity_folder: Folder,
-    record_folder: Folder,
-    value_folder: Folder,
-    configuration_folder: Folder,
+    identity_folder: VersionDirectory,
+    record_folder: VersionDirectory,
+    value_folder: VersionDirectory,
+    configuration_folder: VersionDirectory,
     disk: u64,
     /// Files written so far, or the highest number found.
     records: u64,
@@ -125,7 +125,7 @@
 
 impl Writer {
     fn open(path: &Path) -> Result<Self, VersionsError> {
-        let folder = |name: &str| Folder::open(&path.join(name), name);
+        let folder = |name: &str| VersionDirectory::open(&path.join(name), name);
         let mut writer = Self {
             identity_folder: folder("identity")?,
             record_folder: folder("record")?,
@@ -155,9 +155,9 @@
         self.identity_folder.write(name(number), &disk.to_le_bytes())?;
         if matches!(found, Found::Forgotten) {
             log::error!("a part of the disk cannot be read: this machine joins anew, as another member");
-            self.record_folder.set_all_aside()?;
-            self.value_folder.set_all_aside()?;
-            self.configuration_folder.set_all_aside()?;
+            self.record_folder.quarantine_all()?;
+            self.value_folder.quarantine_all()?;
+            self.configuration_folder.quarantine_all()?;
         }
         self.disk = disk;
         self.records = 0;
@@ -166,30 +166,32 @@
     }
 
     fn find_whole(&mut self) -> Result<Found, VersionsError> {
-        let identity = match self.identity_folder.strictly_newest()? {
-            Newest::Whole(_, body) => <[u8; 8]>::try_from(body.as_slice()).ok().map(u64::from_le_bytes),
-            Newest::Damaged => None,
-            Newest::None if self.records == 0 && self.values == 0 => return Ok(Found::Empty),
-            Newest::None => None,
+        let identity = match self.identity_folder.read_newest()? {
+            NewestVersion::Valid(_, body) => {
+                <[u8; 8]>::try_from(body.as_slice()).ok().map(u64::from_le_bytes)
+            }
+            NewestVersion::Corrupt => None,
+            NewestVersion::None if self.records == 0 && self.values == 0 => return Ok(Found::Empty),
+            NewestVersion::None => None,
         };
         let Some(identity) = identity else { return Ok(Found::Forgotten) };
         self.disk = identity;
-        let record: Option<RecordFile> = match self.record_folder.strictly_newest()? {
-            Newest::Whole(_, body) => readable(&body),
-            Newest::Damaged => None,
+        let record: Option<RecordFile> = match self.record_folder.read_newest()? {
+            NewestVersion::Valid(_, body) => readable(&body),
+            NewestVersion::Corrupt => None,
             // Nothing was promised yet.
-            Newest::None if self.values == 0 => return Ok(Found::Whole(Box::new(Stored::first(&[])))),
-            Newest::None => None,
+            NewestVersion::None if self.values == 0 => return Ok(Found::Whole(Box::new(Stored::first(&[])))),
+            NewestVersion::None => None,
         };
         let Some(record) = record.filter(|record| record.disk == identity) else {
             return Ok(Found::Forgotten);
         };
-        let value = match self.value_folder.strictly_newest()? {
-            Newest::Whole(name, body) => {
+        let value = match self.value_folder.read_newest()? {
+            NewestVersion::Valid(name, body) => {
                 readable(&body).and_then(|file| self.whole_value(name.sequence, file))
             }
-            Newest::Damaged => None,
-            Newest::None => {
+            NewestVersion::Corrupt => None,
+            NewestVersion::None => {
                 let first = Stored::first(&[]);
                 Some((first.version, first.value))
             }
@@ -222,7 +224,7 @@
         self.records += 1;
         let file = RecordFile { disk: self.disk, record: record.clone() };
         self.record_folder.write(name(self.records), &encode(&file))?;
-        self.record_folder.keep_newest(KEPT)
+        self.record_folder.prune(KEPT)
     }
 
     fn write_value(&mut self, version: Version, state: &ControlState) -> Result<(), VersionsError> {
@@ -234,8 +236,8 @@
         while self.kept.len() > KEPT {
             self.kept.pop_front();
         }
-        self.value_folder.keep_newest(KEPT)?;
-        for old in self.configuration_folder.names()? {
+        self.value_folder.prune(KEPT)?;
+        for old in self.configuration_folder.list()? {
             if !self.kept.iter().any(|(_, configuration)| *configuration == Some(old.sequence)) {
                 self.configuration_folder.remove(old);
             }
@@ -272,8 +274,8 @@
     VersionName { epoch: 0, sequence: number }
 }
 
-fn highest(folder: &Folder) -> Result<u64, VersionsError> {
-    Ok(folder.names()?.last().map_or(0, |name| name.sequence))
+fn highest(folder: &VersionDirectory) -> Result<u64, VersionsError> {
+    Ok(folder.list()?.last().map_or(0, |name| name.sequence))
 }
 
 fn readable<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
--- a/crates/control-plane/src/identity.rs
+++ b/crates/control-plane/src/identity.rs
@@ -4,7 +4,7 @@
 
 use fennelgauge_coordination::Identity;
 use fennelgauge_settings::Settings;
-use fennelgauge_versions::{Folder, VersionName};
+use fennelgauge_versions::{VersionDirectory, VersionName};
 
 /// A number that nobody else draws.
 pub fn random_number() -> u64 {
@@ -21,8 +21,8 @@
 }
 
 fn kept(path: &Path) -> anyhow::Result<u64> {
-    let folder = Folder::open(&path.join("identity"), "identity")?;
-    if let Some((_, body)) = folder.newest()? {
+    let folder = VersionDirectory::open(&path.join("identity"), "identity")?;
+    if let Some((_, body)) = folder.newest_valid()? {
         if let Ok(bytes) = body.as_slice().try_into() {
             return Ok(u64::from_le_bytes(bytes));
         }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
-use fennelgauge_encoding::{packed, unpacked};
+use fennelgauge_encoding::{compress, decompress};
 use fennelgauge_model::{patched, Document};
 use fennelgauge_wire::{decode, encode, Order, OrderKind};
 use serde::{Deserialize, Serialize};
@@ -150,7 +150,7 @@
     pub fn written(&self) -> Vec<u8> {
         let bytes = encode(self);
         match bytes.len() > LONGEST_UNPACKED {
-            true => encode(&Carried::Packed(packed(&bytes))),
+            true => encode(&Carried::Packed(compress(&bytes))),
             false => encode(&Carried::Plain(bytes)),
         }
     }
@@ -161,7 +161,7 @@
         let bytes = match carried {
             Carried::Plain(bytes) => bytes,
             Carried::Packed(bytes) => {
-                unpacked(&bytes, MOST_BYTES).map_err(|reason| unreadable(reason.to_string())).ok()?
+                decompress(&bytes, MOST_BYTES).map_err(|reason| unreadable(reason.to_string())).ok()?
             }
         };
         decode(&bytes).map_err(|reason| unreadable(reason.to_string())).ok()
@@ -286,13 +286,13 @@
     }
 
     fn encode(&self) -> Vec<u8> {
-        encode(&(serde_bytes::ByteBuf::from(packed(self.configuration.json())), &self.small))
+        encode(&(serde_bytes::ByteBuf::from(compress(self.configuration.json())), &self.small))
     }
 
     fn decode(bytes: &[u8]) -> Option<Self> {
         let decoded: Result<(serde_bytes::ByteBuf, SmallState), _> = decode(bytes);
         let (json, small) = decoded.map_err(|reason| log::error!("a copy cannot be read: {reason}")).ok()?;
-        let json = unpacked(&json, MOST_BYTES)
+        let json = decompress(&json, MOST_BYTES)
             .map_err(|reason| log::error!("a copy cannot be read: {reason}"))
             .ok()?;
         Some(Self { configuration: SharedConfiguration::new(json), small })
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -6,7 +6,7 @@
 
 use super::costs::Writes;
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_versions::{Folder, VersionName, VersionsError};
+use fennelgauge_versions::{VersionDirectory, VersionName, VersionsError};
 use fennelgauge_wire::{decode, encode, Entry, GroupCopy};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
@@ -45,9 +45,9 @@
     pub fn open(path: Option<&Path>) -> Result<(Self, Vec<Record>), VersionsError> {
         let counted = Writes::default();
         let Some(path) = path else { return Ok((Self { writes: None, counted }, Vec::new())) };
-        let folder = Folder::open(&path.join("journal"), "batch")?;
+        let folder = VersionDirectory::open(&path.join("journal"), "batch")?;
         let mut records = Vec::new();
-        let names = folder.names()?;
+        let names = folder.list()?;
         let next = names.last().map_or(1, |name| name.sequence + 1);
         for name in names {
             match folder.read(name) {
@@ -97,7 +97,7 @@
     }
 }
 
-fn write_all(folder: &Folder, mut sequence: u64, queue: &mpsc::Receiver<Write>, counted: &Writes) {
+fn write_all(folder: &VersionDirectory, mut sequence: u64, queue: &mpsc::Receiver<Write>, counted: &Writes) {
     let mut held: Option<Write> = None;
     // After a failed write the disk lacks something: nothing counts as written until all was written anew.
     let mut lacking = false;
@@ -140,7 +140,7 @@
     }
 }
 
-fn write_one(folder: &Folder, sequence: u64, body: &[u8]) -> bool {
+fn write_one(folder: &VersionDirectory, sequence: u64, body: &[u8]) -> bool {
     if body.is_empty() {
         return true;
     }
@@ -153,8 +153,8 @@
     }
 }
 
-fn remove_before(folder: &Folder, sequence: u64) {
-    let Ok(names) = folder.names() else { return };
+fn remove_before(folder: &VersionDirectory, sequence: u64) {
+    let Ok(names) = folder.list() else { return };
     for name in names.into_iter().filter(|name| name.sequence < sequence) {
         folder.remove(name);
     }
--- a/crates/encoding/src/packing.rs
+++ b/crates/encoding/src/compression.rs
@@ -11,15 +11,15 @@
 
 /// Bytes that were not packed by [`packed`], or are longer than allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UnpackError {
+pub enum DecompressError {
     #[error("packed bytes cannot be read ({0}): run one version of the programs everywhere")]
-    Unreadable(String),
+    Corrupt(String),
     #[error("packed bytes hold more than {0} bytes: the sender is not one of ours")]
-    TooLong(usize),
+    TooLarge(usize),
 }
 
 /// The bytes, packed.
-pub fn packed(bytes: &[u8]) -> Vec<u8> {
+pub fn compress(bytes: &[u8]) -> Vec<u8> {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::new(LEVEL));
     // Writing to memory does not fail.
     let _ = encoder.write_all(bytes);
@@ -30,12 +30,12 @@
 ///
 /// # Errors
 /// If they cannot be read, or are more than `most`.
-pub fn unpacked(bytes: &[u8], most: usize) -> Result<Vec<u8>, UnpackError> {
+pub fn decompress(bytes: &[u8], most: usize) -> Result<Vec<u8>, DecompressError> {
     let mut long = Vec::new();
     let mut decoder = ZlibDecoder::new(bytes).take(most as u64 + 1);
-    decoder.read_to_end(&mut long).map_err(|reason| UnpackError::Unreadable(reason.to_string()))?;
+    decoder.read_to_end(&mut long).map_err(|reason| DecompressError::Corrupt(reason.to_string()))?;
     match long.len() > most {
-        true => Err(UnpackError::TooLong(most)),
+        true => Err(DecompressError::TooLarge(most)),
         false => Ok(long),
     }
 }
--- a/crates/encoding/src/delta.rs
+++ b/crates/encoding/src/delta.rs
@@ -7,31 +7,31 @@
 
 /// A part of the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum DeltaOp {
     /// So many bytes of the old text, from there on.
-    Kept {
-        from: u64,
+    Copy {
+        offset: u64,
         length: u64,
     },
-    New(#[serde(with = "serde_bytes")] Vec<u8>),
+    Insert(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
 /// A delta does not belong to the text that it was applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a change does not fit the text that it is for: ask for the whole text")]
-pub struct MisfitError;
+pub struct DeltaMismatchError;
 
 /// The parts of `new`, by what it has in common with `old`.
-pub fn delta(old: &[u8], new: &[u8]) -> Vec<Part> {
+pub fn compute_delta(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
     let mut places: HashMap<&[u8], usize> = HashMap::new();
     let mut place = 0;
     for piece in pieces(old) {
         places.entry(piece).or_insert(place);
         place += piece.len();
     }
-    let mut parts: Vec<Part> = Vec::new();
+    let mut parts: Vec<DeltaOp> = Vec::new();
     for piece in pieces(new) {
-        if let Some(Part::Kept { from, length }) = parts.last_mut() {
+        if let Some(DeltaOp::Copy { offset: from, length }) = parts.last_mut() {
             let next = (*from + *length) as usize;
             if old[next..].starts_with(piece) {
                 *length += piece.len() as u64;
@@ -39,9 +39,9 @@
             }
         }
         match (places.get(piece), parts.last_mut()) {
-            (Some(from), _) => parts.push(Part::Kept { from: *from as u64, length: piece.len() as u64 }),
-            (None, Some(Part::New(bytes))) => bytes.extend_from_slice(piece),
-            (None, _) => parts.push(Part::New(piece.to_vec())),
+            (Some(from), _) => parts.push(DeltaOp::Copy { offset: *from as u64, length: piece.len() as u64 }),
+            (None, Some(DeltaOp::Insert(bytes))) => bytes.extend_from_slice(piece),
+            (None, _) => parts.push(DeltaOp::Insert(piece.to_vec())),
         }
     }
     parts
@@ -51,20 +51,20 @@
 ///
 /// # Errors
 /// If a part names what the old text does not have, or the new one would be longer than `most` bytes.
-pub fn applied(old: &[u8], parts: &[Part], most: usize) -> Result<Vec<u8>, MisfitError> {
+pub fn apply_delta(old: &[u8], parts: &[DeltaOp], most: usize) -> Result<Vec<u8>, DeltaMismatchError> {
     let mut new = Vec::new();
     for part in parts {
         let bytes = match part {
-            Part::New(bytes) => bytes.as_slice(),
-            Part::Kept { from, length } => {
-                let from = usize::try_from(*from).map_err(|_| MisfitError)?;
-                let length = usize::try_from(*length).map_err(|_| MisfitError)?;
-                let end = from.checked_add(length).ok_or(MisfitError)?;
-                old.get(from..end).ok_or(MisfitError)?
+            DeltaOp::Insert(bytes) => bytes.as_slice(),
+            DeltaOp::Copy { offset: from, length } => {
+                let from = usize::try_from(*from).map_err(|_| DeltaMismatchError)?;
+                let length = usize::try_from(*length).map_err(|_| DeltaMismatchError)?;
+                let end = from.checked_add(length).ok_or(DeltaMismatchError)?;
+                old.get(from..end).ok_or(DeltaMismatchError)?
             }
         };
         if new.len() + bytes.len() > most {
-            return Err(MisfitError);
+            return Err(DeltaMismatchError);
         }
         new.extend_from_slice(bytes);
     }
--- a/crates/encoding/src/lib.rs
+++ b/crates/encoding/src/lib.rs
@@ -1,13 +1,13 @@
 //! Values of our own in bincode: in messages, on disks, in copies; long texts by their changes, and packed.
 
+mod compression;
 mod delta;
-mod packing;
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-pub use delta::{applied, delta, MisfitError, Part};
-pub use packing::{checksum, packed, unpacked, UnpackError};
+pub use compression::{checksum, compress, decompress, DecompressError};
+pub use delta::{apply_delta, compute_delta, DeltaMismatchError, DeltaOp};
 
 /// Most values are shorter, and hold no more than this once they are read.
 const SHORT_BYTES: usize = 64 << 10;
--- a/crates/encoding/src/tests.rs
+++ b/crates/encoding/src/tests.rs
@@ -19,8 +19,12 @@
         ("cut short", old[..old.len() / 2].to_vec()),
     ];
     for (what, new) in cases {
-        assert_eq!(applied(&old, &delta(&old, &new), new.len()).as_ref(), Ok(&new), "{what}");
-        assert_eq!(applied(&new, &delta(&new, &old), old.len()).as_ref(), Ok(&old), "{what}, back");
+        assert_eq!(apply_delta(&old, &compute_delta(&old, &new), new.len()).as_ref(), Ok(&new), "{what}");
+        assert_eq!(
+            apply_delta(&new, &compute_delta(&new, &old), old.len()).as_ref(),
+            Ok(&old),
+            "{what}, back"
+        );
     }
 }
 
@@ -30,7 +34,7 @@
     let names: Vec<&str> = many.iter().map(String::as_str).collect();
     let mut changed = names.clone();
     changed[700] = "another";
-    let parts = delta(&text(&names), &text(&changed));
+    let parts = compute_delta(&text(&names), &text(&changed));
     assert!(encode(&parts).len() < 200, "{} bytes", encode(&parts).len());
 }
 
@@ -38,25 +42,30 @@
 fn a_delta_of_another_text_is_refused() {
     let old = text(&["a", "b", "c"]);
     let cases = [
-        Part::Kept { from: 0, length: old.len() as u64 + 1 },
-        Part::Kept { from: u64::MAX, length: 2 },
-        Part::Kept { from: 5, length: u64::MAX },
+        DeltaOp::Copy { offset: 0, length: old.len() as u64 + 1 },
+        DeltaOp::Copy { offset: u64::MAX, length: 2 },
+        DeltaOp::Copy { offset: 5, length: u64::MAX },
     ];
     for part in cases {
-        assert_eq!(applied(&old, std::slice::from_ref(&part), 1 << 20), Err(MisfitError), "{part:?}");
+        assert_eq!(
+            apply_delta(&old, std::slice::from_ref(&part), 1 << 20),
+            Err(DeltaMismatchError),
+            "{part:?}"
+        );
     }
-    let bomb: Vec<Part> = (0..100).map(|_| Part::Kept { from: 0, length: old.len() as u64 }).collect();
-    assert_eq!(applied(&old, &bomb, 1_000), Err(MisfitError), "longer than allowed");
+    let bomb: Vec<DeltaOp> =
+        (0..100).map(|_| DeltaOp::Copy { offset: 0, length: old.len() as u64 }).collect();
+    assert_eq!(apply_delta(&old, &bomb, 1_000), Err(DeltaMismatchError), "longer than allowed");
 }
 
 #[test]
 fn packed_bytes_come_back_within_the_bound() {
     let long = text(&["a"; 500]);
-    let short = packed(&long);
+    let short = compress(&long);
     assert!(short.len() * 10 < long.len());
-    assert_eq!(unpacked(&short, long.len()), Ok(long.clone()));
-    assert_eq!(unpacked(&short, long.len() - 1), Err(UnpackError::TooLong(long.len() - 1)));
-    assert!(matches!(unpacked(&short[..short.len() / 2], 1 << 20), Err(UnpackError::Unreadable(_))));
-    assert!(matches!(unpacked(b"no such bytes", 1 << 20), Err(UnpackError::Unreadable(_))));
+    assert_eq!(decompress(&short, long.len()), Ok(long.clone()));
+    assert_eq!(decompress(&short, long.len() - 1), Err(DecompressError::TooLarge(long.len() - 1)));
+    assert!(matches!(decompress(&short[..short.len() / 2], 1 << 20), Err(DecompressError::Corrupt(_))));
+    assert!(matches!(decompress(b"no such bytes", 1 << 20), Err(DecompressError::Corrupt(_))));
     assert_ne!(checksum(&long), checksum(&long[1..]));
 }
--- a/crates/upstream/src/texts.rs
+++ b/crates/upstream/src/texts.rs
@@ -3,7 +3,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use fennelgauge_encoding::{applied, checksum, decode, delta, encode, packed, unpacked, Part};
+use fennelgauge_encoding::{
+    apply_delta, checksum, compress, compute_delta, decode, decompress, encode, DeltaOp,
+};
 use fennelgauge_wire::ConfigurationNews;
 
 /// Earlier texts that a source keeps, and how many bytes of them.
@@ -18,11 +20,11 @@
     #[error("its changes are for generation {base}, {own} is here: the whole text is asked for")]
     OtherBase { base: u64, own: u64 },
     #[error("{0}")]
-    Packed(#[from] fennelgauge_encoding::UnpackError),
+    Packed(#[from] fennelgauge_encoding::DecompressError),
     #[error("{0}")]
     Undecoded(#[from] fennelgauge_encoding::DecodeError),
     #[error("{0}")]
-    Misfit(#[from] fennelgauge_encoding::MisfitError),
+    Misfit(#[from] fennelgauge_encoding::DeltaMismatchError),
     #[error("it is not the text that was sent: the whole text is asked for")]
     Garbled,
 }
@@ -73,8 +75,8 @@
             return sent.clone();
         }
         let body = match base {
-            Some((_, text)) => packed(&encode(&delta(text, &self.newest))),
-            None => packed(&self.newest),
+            Some((_, text)) => compress(&encode(&compute_delta(text, &self.newest))),
+            None => compress(&self.newest),
         };
         let news = ConfigurationNews {
             generation: self.generation,
@@ -88,12 +90,12 @@
 
     /// The text that a source has sent.
     pub fn read(&self, news: &ConfigurationNews) -> Result<Vec<u8>, NewsError> {
-        let body = unpacked(&news.packed, MOST_BYTES)?;
+        let body = decompress(&news.packed, MOST_BYTES)?;
         let text = match news.base {
             None => body,
             Some(base) if base == self.generation => {
-                let parts: Vec<Part> = decode(&body)?;
-                applied(&self.newest, &parts, MOST_BYTES)?
+                let parts: Vec<DeltaOp> = decode(&body)?;
+                apply_delta(&self.newest, &parts, MOST_BYTES)?
             }
             Some(base) => return Err(NewsError::OtherBase { base, own: self.generation }),
         };
--- a/crates/upstream/src/texts/tests.rs
+++ b/crates/upstream/src/texts/tests.rs
@@ -52,7 +52,7 @@
     assert!(matches!(other.read(&changes), Err(NewsError::Garbled | NewsError::Misfit(_))));
     let cut = ConfigurationNews { packed: changes.packed[..9].to_vec(), ..changes.clone() };
     assert!(matches!(other.read(&cut), Err(NewsError::Packed(_))));
-    let foreign = ConfigurationNews { packed: packed(b"\xff\xff\xff"), ..changes };
+    let foreign = ConfigurationNews { packed: compress(b"\xff\xff\xff"), ..changes };
     assert!(matches!(other.read(&foreign), Err(NewsError::Undecoded(_))));
 }
 
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -14,26 +14,26 @@
 #[derive(Debug, thiserror::Error)]
 pub enum VersionsError {
     #[error("{path}: {reason}: check that the disk is there, writable and not full")]
-    Disk { path: PathBuf, reason: io::Error },
+    Io { path: PathBuf, reason: io::Error },
     #[error("{path}: not a whole version file of this program: set aside")]
-    Unreadable { path: PathBuf },
+    Corrupt { path: PathBuf },
 }
 
 /// A folder whose files are versions, named by a prefix and two rising numbers.
 #[derive(Clone, Debug)]
-pub struct Folder {
+pub struct VersionDirectory {
     path: PathBuf,
     prefix: String,
 }
 
 /// What is found where the newest version should be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Newest {
+pub enum NewestVersion {
     /// The folder holds no version.
     None,
-    Whole(VersionName, Vec<u8>),
+    Valid(VersionName, Vec<u8>),
     /// The newest version is not whole: whatever it said is forgotten, and an older one must not be taken for it.
-    Damaged,
+    Corrupt,
 }
 
 /// The name of a version: files sort by it.
@@ -43,7 +43,7 @@
     pub sequence: u64,
 }
 
-impl Folder {
+impl VersionDirectory {
     /// Opens the folder, making it where it is missing; what a crash left half written is removed.
     pub fn open(path: &Path, prefix: &str) -> Result<Self, VersionsError> {
         let folder = Self { path: path.to_owned(), prefix: prefix.to_owned() };
@@ -77,7 +77,7 @@
     }
 
     /// The names of all versions, oldest first.
-    pub fn names(&self) -> Result<Vec<VersionName>, VersionsError> {
+    pub fn list(&self) -> Result<Vec<VersionName>, VersionsError> {
         let entries = fs::read_dir(&self.path).map_err(|reason| self.disk_error(&self.path, reason))?;
         let mut names: Vec<VersionName> =
             entries.flatten().filter_map(|entry| self.parse(entry.file_name().to_str()?)).collect();
@@ -93,14 +93,14 @@
             Some(body) => Ok(body.to_vec()),
             None => {
                 let _ = fs::rename(&path, path.with_extension(SET_ASIDE));
-                Err(VersionsError::Unreadable { path })
+                Err(VersionsError::Corrupt { path })
             }
         }
     }
 
     /// The newest version that is whole; those that are not are set aside and logged.
-    pub fn newest(&self) -> Result<Option<(VersionName, Vec<u8>)>, VersionsError> {
-        for name in self.names()?.into_iter().rev() {
+    pub fn newest_valid(&self) -> Result<Option<(VersionName, Vec<u8>)>, VersionsError> {
+        for name in self.list()?.into_iter().rev() {
             match self.read(name) {
                 Ok(body) => return Ok(Some((name, body))),
                 Err(error) => log::warn!("{error}"),
@@ -110,19 +110,19 @@
     }
 
     /// The newest version, and nothing older in its place. A file that is not whole stays where it is.
-    pub fn strictly_newest(&self) -> Result<Newest, VersionsError> {
-        let Some(name) = self.names()?.pop() else { return Ok(Newest::None) };
+    pub fn read_newest(&self) -> Result<NewestVersion, VersionsError> {
+        let Some(name) = self.list()?.pop() else { return Ok(NewestVersion::None) };
         let path = self.file(name);
         let bytes = fs::read(&path).map_err(|reason| self.disk_error(&path, reason))?;
         Ok(match body_of(&bytes) {
-            Some(body) => Newest::Whole(name, body.to_vec()),
-            None => Newest::Damaged,
+            Some(body) => NewestVersion::Valid(name, body.to_vec()),
+            None => NewestVersion::Corrupt,
         })
     }
 
     /// Renames all versions, so that none is read again; for when what they say must not count any more.
-    pub fn set_all_aside(&self) -> Result<(), VersionsError> {
-        for name in self.names()? {
+    pub fn quarantine_all(&self) -> Result<(), VersionsError> {
+        for name in self.list()? {
             let path = self.file(name);
             fs::rename(&path, path.with_extension(SET_ASIDE))
                 .map_err(|reason| self.disk_error(&path, reason))?;
@@ -131,8 +131,8 @@
     }
 
     /// Removes all but the newest `keep` versions. What cannot be removed is left for the next time.
-    pub fn keep_newest(&self, keep: usize) -> Result<(), VersionsError> {
-        let names = self.names()?;
+    pub fn prune(&self, keep: usize) -> Result<(), VersionsError> {
+        let names = self.list()?;
         for name in names.iter().take(names.len().saturating_sub(keep)) {
             let _ = fs::remove_file(self.file(*name));
         }
@@ -161,7 +161,7 @@
     }
 
     fn disk_error(&self, path: &Path, reason: io::Error) -> VersionsError {
-        VersionsError::Disk { path: path.to_owned(), reason }
+        VersionsError::Io { path: path.to_owned(), reason }
     }
 }
 
--- a/crates/versions/src/tests.rs
+++ b/crates/versions/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn folder(test: &str) -> (PathBuf, Folder) {
+fn folder(test: &str) -> (PathBuf, VersionDirectory) {
     let path = std::env::temp_dir().join(format!("fennelgauge-versions-{test}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
-    let folder = Folder::open(&path, "state").expect("a folder");
+    let folder = VersionDirectory::open(&path, "state").expect("a folder");
     (path, folder)
 }
 
@@ -17,9 +17,9 @@
     for (version, body) in [(name(1, 9), "old"), (name(2, 3), "new"), (name(2, 2), "middle")] {
         folder.write(version, body.as_bytes()).expect("written");
     }
-    assert_eq!(folder.newest().expect("readable"), Some((name(2, 3), b"new".to_vec())));
-    folder.keep_newest(2).expect("pruned");
-    assert_eq!(folder.names().expect("listed"), [name(2, 2), name(2, 3)]);
+    assert_eq!(folder.newest_valid().expect("readable"), Some((name(2, 3), b"new".to_vec())));
+    folder.prune(2).expect("pruned");
+    assert_eq!(folder.list().expect("listed"), [name(2, 2), name(2, 3)]);
     fs::remove_dir_all(path).expect("removed");
 }
 
@@ -31,8 +31,8 @@
         let (path, folder) = folder(case);
         folder.write(name(1, 1), b"good").expect("written");
         fs::write(folder.file(name(1, 2)), bytes).expect("planted");
-        assert_eq!(folder.newest().expect("readable"), Some((name(1, 1), b"good".to_vec())), "{case}");
-        assert_eq!(folder.names().expect("listed"), [name(1, 1)], "{case}");
+        assert_eq!(folder.newest_valid().expect("readable"), Some((name(1, 1), b"good".to_vec())), "{case}");
+        assert_eq!(folder.list().expect("listed"), [name(1, 1)], "{case}");
         fs::remove_dir_all(path).expect("removed");
     }
 }
@@ -45,6 +45,6 @@
     let mut bytes = fs::read(&file).expect("readable");
     bytes[HEADER_BYTES + 3] ^= 4;
     fs::write(&file, bytes).expect("planted");
-    assert!(folder.newest().expect("readable").is_none());
+    assert!(folder.newest_valid().expect("readable").is_none());
     fs::remove_dir_all(path).expect("removed");
 }
