--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    GiveUp, GiveUpRefusal, GivenUp, GroupNumber, HolderSeen, LastHolder, Planner, StoreNumber, StoreView,
-    GIVE_UP_AFTER,
+    GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, LastHolder, Planner, StoreNumber,
+    StoreView, MIN_SILENCE_BEFORE_GIVE_UP,
 };
 use fennelgauge_upstream::wall_clock;
 use fennelgauge_wire::{GiveUpReply, GroupReply, GroupReport};
@@ -18,7 +18,7 @@
 /// Why an order to give a group up is not carried out now.
 enum NotNow {
     Taken,
-    Refused(GiveUpRefusal),
+    Refused(GiveUpError),
 }
 
 impl Core {
@@ -44,7 +44,7 @@
     }
 
     /// Gives a group up, at the head.
-    pub(super) async fn give_up_here(self: &Rc<Self>, order: &GiveUp) -> GiveUpReply {
+    pub(super) async fn give_up_here(self: &Rc<Self>, order: &GiveUpRequest) -> GiveUpReply {
         if !self.is_head() || !self.has_heard_the_stores() {
             return GiveUpReply::Unavailable;
         }
@@ -59,10 +59,10 @@
                 let seen = self.holders_seen(view, order.group);
                 let planner = Planner::new(losses, &heard, false);
                 let names = self.known_names(state, order.group);
-                let next = planner.give_up(view, order, &seen, names, GIVE_UP_AFTER);
+                let next = planner.give_up(view, order, &seen, names, MIN_SILENCE_BEFORE_GIVE_UP);
                 let next = next.map_err(NotNow::Refused)?;
                 let at_ms = wall_clock().as_millis() as u64;
-                let given_up = GivenUp { order: order.clone(), begun_in: next.epoch, at_ms };
+                let given_up = GiveUpRecord { order: order.clone(), incarnation: next.epoch, at_ms };
                 Ok(StateChange::GiveUp { given_up, stores: next })
             })
             .await;
@@ -92,7 +92,7 @@
 
     /// The holders of a group as they were heard here. One that was never heard here counts as silent for as long as this machine
     /// is in its view.
-    fn holders_seen(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderSeen> {
+    fn holders_seen(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderStatus> {
         let seen = |number: StoreNumber| {
             let identity = &view.store(number)?.member.identity;
             let last = self.presence.last_word(identity, group);
@@ -102,9 +102,9 @@
                 None => Some(self.in_view_for()),
             };
             let holder = LastHolder { node: identity.node.clone(), entries: last.entries };
-            Some(HolderSeen { holder, silent_for: silent_for.map(whole_seconds) })
+            Some(HolderStatus { holder, silent_for: silent_for.map(whole_seconds) })
         };
-        view.holders_on_record(group).into_iter().filter_map(seen).collect()
+        view.recorded_holders(group).into_iter().filter_map(seen).collect()
     }
 }
 
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    Coordinator, Envelope, Identity, Member, Message, Outcome, Progress, Replica, Timing, View, ViewRules,
+    Coordinator, Effects, Envelope, Identity, Member, Message, Progress, Replica, Timing, View, ViewRules,
 };
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::Known;
@@ -68,7 +68,7 @@
     ) -> Result<Rc<Self>, VersionsError> {
         let opened = Storage::open(&settings)?;
         let me = member(&settings, opened.identity, peer);
-        let rules = ViewRules::for_losses(settings.tolerate.losses());
+        let rules = ViewRules::tolerating(settings.tolerate.losses());
         let replica = Replica::new(me.clone(), settings.counts_for_quorum, rules, opened.stored);
         let seeds = settings.seed_peers();
         let coordinator = Coordinator::new(replica, Timing::default(), seeds, Duration::ZERO);
@@ -110,7 +110,7 @@
     /// One step of the state machines, with all that follows from it.
     async fn take<A>(
         self: &Rc<Self>,
-        step: impl FnOnce(&mut Coordinator<ControlState>, Duration) -> (A, Outcome),
+        step: impl FnOnce(&mut Coordinator<ControlState>, Duration) -> (A, Effects),
     ) -> A {
         let _turn = self.turn.lock().await;
         let now = self.started.elapsed();
@@ -122,7 +122,7 @@
     }
 
     /// Writes first; what rests on it is sent only when it is on the disk.
-    async fn perform(self: &Rc<Self>, outcome: Outcome) {
+    async fn perform(self: &Rc<Self>, outcome: Effects) {
         if outcome.write_record || outcome.write_value {
             let writes = self.writes(&outcome);
             while !self.storage.write(writes.clone()).await {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn writes(&self, outcome: &Outcome) -> Writes {
+    fn writes(&self, outcome: &Effects) -> Writes {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
         Writes {
@@ -155,10 +155,10 @@
     fn publish(&self) {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
-        if replica.newest_view().epoch > 0 {
-            self.known.take_view(replica.newest_view());
+        if replica.latest_view().epoch > 0 {
+            self.known.take_view(replica.latest_view());
         }
-        if let Some(confirmed) = coordinator.confirmed_at() {
+        if let Some(confirmed) = coordinator.quorum_confirmed_at() {
             self.known.take_confirmed(self.started.elapsed().saturating_sub(confirmed));
         }
         let Some(state) = replica.committed_value() else { return };
@@ -172,7 +172,7 @@
 
     /// The newest view that this machine knows.
     pub fn view(&self) -> View {
-        self.coordinator.borrow().replica().newest_view().clone()
+        self.coordinator.borrow().replica().latest_view().clone()
     }
 
     /// The epoch of the view that this machine votes in: the fence of its duties while it is the head.
@@ -196,19 +196,20 @@
 
     /// Since when this machine is in its view.
     pub fn in_view_for(&self) -> Duration {
-        self.started.elapsed().saturating_sub(self.coordinator.borrow().installed_at())
+        self.started.elapsed().saturating_sub(self.coordinator.borrow().view_installed_at())
     }
 
     /// Whether a majority said lately that the view stands.
     pub fn is_confirmed(&self) -> bool {
-        let confirmed = self.coordinator.borrow().confirmed_at();
+        let confirmed = self.coordinator.borrow().quorum_confirmed_at();
         confirmed.is_some_and(|at| self.started.elapsed().saturating_sub(at) < CONFIRMED_WITHIN)
     }
 
     /// Whether a majority, asked now, is in this machine's view: what was committed here before is all there was.
     pub async fn confirm(self: &Rc<Self>, until: Instant) -> bool {
-        let question = self.take(|coordinator, now| coordinator.ask_majority(now)).await;
-        self.wait_for(until, |coordinator| coordinator.answer_to(question)).await == Progress::Done
+        let question = self.take(|coordinator, now| coordinator.start_quorum_check(now)).await;
+        self.wait_for(until, |coordinator| coordinator.quorum_check_progress(question)).await
+            == Progress::Done
     }
 
     /// Waits until something is done or overtaken, or time is up.
@@ -220,7 +221,7 @@
         loop {
             let moved = self.moved.notified();
             let now = progress(&self.coordinator.borrow());
-            if now != Progress::Waiting || timeout_at(until, moved).await.is_err() {
+            if now != Progress::Pending || timeout_at(until, moved).await.is_err() {
                 return now;
             }
         }
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -48,17 +48,17 @@
         let until = Instant::now() + TURN_TIMEOUT;
         let turn = timeout_at(until, self.writing.lock()).await;
         let _turn = turn.map_err(|_| WriteError::NotTaken)?;
-        let settled = self.wait_for(until, |coordinator| match coordinator.replica().takes_writes() {
+        let settled = self.wait_for(until, |coordinator| match coordinator.replica().check_writable() {
             Ok(()) => Progress::Done,
-            Err(_) if coordinator.replica().is_head() => Progress::Waiting,
-            Err(_) => Progress::Overtaken,
+            Err(_) if coordinator.replica().is_head() => Progress::Pending,
+            Err(_) => Progress::Superseded,
         });
         if settled.await != Progress::Done {
             return Err(WriteError::NotTaken);
         }
         let begun = self.take(|coordinator, now| {
             let replica = coordinator.replica();
-            if replica.takes_writes().is_err() {
+            if replica.check_writable().is_err() {
                 return (Err(WriteError::NotTaken), Default::default());
             }
             match change(replica.value()) {
@@ -77,9 +77,9 @@
             Err(answer) => return Ok(Err(answer)),
         };
         let until = Instant::now() + COMMIT_TIMEOUT;
-        match self.wait_for(until, |coordinator| coordinator.progress_of(version)).await {
+        match self.wait_for(until, |coordinator| coordinator.write_progress(version)).await {
             Progress::Done => Ok(Ok(())),
-            Progress::Waiting | Progress::Overtaken => Err(WriteError::Unknown),
+            Progress::Pending | Progress::Superseded => Err(WriteError::Unknown),
         }
     }
 
@@ -116,7 +116,7 @@
             return None;
         }
         let coordinator = self.coordinator.borrow();
-        let state = coordinator.value_for_reads().filter(|state| state.generation() > 0)?;
+        let state = coordinator.readable_value().filter(|state| state.generation() > 0)?;
         Some(ConfigurationBytes(state.configuration.json().to_vec()))
     }
 
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::sync::Arc;
 
-use fennelgauge_coordination::{Identity, Record, Stored, Version};
+use fennelgauge_coordination::{DurableState, Identity, Version, VotingRecord};
 use fennelgauge_settings::Settings;
 use fennelgauge_versions::{NewestVersion, VersionDirectory, VersionName, VersionsError};
 use fennelgauge_wire::{decode, encode};
@@ -25,7 +25,7 @@
 #[derive(Serialize, Deserialize)]
 struct RecordFile {
     disk: u64,
-    record: Record,
+    record: VotingRecord,
 }
 
 /// A version of the control state; the configuration is in a file of its own.
@@ -40,7 +40,7 @@
 /// What has to be written, the record first.
 #[derive(Clone, Default)]
 pub struct Writes {
-    pub record: Option<Record>,
+    pub record: Option<VotingRecord>,
     pub value: Option<(Version, Arc<ControlState>)>,
 }
 
@@ -58,7 +58,7 @@
 /// A disk as it was found.
 pub struct Opened {
     pub identity: Identity,
-    pub stored: Stored<ControlState>,
+    pub stored: DurableState<ControlState>,
     pub storage: Storage,
 }
 
@@ -69,13 +69,13 @@
         let Some(path) = &settings.data_dir else {
             let identity = Identity { node: settings.node.clone(), disk: random_number() };
             let storage = Self { jobs: None };
-            return Ok(Opened { identity, stored: Stored::first(&seeds), storage });
+            return Ok(Opened { identity, stored: DurableState::empty(&seeds), storage });
         };
         let mut writer = Writer::open(path)?;
         let found = writer.find()?;
         let stored = match found {
             Some(stored) => stored,
-            None => Stored::first(&seeds),
+            None => DurableState::empty(&seeds),
         };
         if settings.bootstrap && writer.records == 0 {
             // The seeds are in the settings of the very first start only.
@@ -145,7 +145,7 @@
     }
 
     /// What the disk holds; none if it is empty, or if anything of it is forgotten: then under a new identity.
-    fn find(&mut self) -> Result<Option<Stored<ControlState>>, VersionsError> {
+    fn find(&mut self) -> Result<Option<DurableState<ControlState>>, VersionsError> {
         let found = self.find_whole()?;
         if let Found::Whole(stored) = found {
             return Ok(Some(*stored));
@@ -180,7 +180,9 @@
             NewestVersion::Valid(_, body) => readable(&body),
             NewestVersion::Corrupt => None,
             // Nothing was promised yet.
-            NewestVersion::None if self.values == 0 => return Ok(Found::Whole(Box::new(Stored::first(&[])))),
+            NewestVersion::None if self.values == 0 => {
+                return Ok(Found::Whole(Box::new(DurableState::empty(&[]))))
+            }
             NewestVersion::None => None,
         };
         let Some(record) = record.filter(|record| record.disk == identity) else {
@@ -192,12 +194,12 @@
             }
             NewestVersion::Corrupt => None,
             NewestVersion::None => {
-                let first = Stored::first(&[]);
+                let first = DurableState::empty(&[]);
                 Some((first.version, first.value))
             }
         };
         let Some((version, value)) = value else { return Ok(Found::Forgotten) };
-        Ok(Found::Whole(Box::new(Stored { record: record.record, version, value })))
+        Ok(Found::Whole(Box::new(DurableState { record: record.record, version, value })))
     }
 
     fn whole_value(&mut self, number: u64, file: ValueFile) -> Option<(Version, Arc<ControlState>)> {
@@ -220,7 +222,7 @@
         Ok(())
     }
 
-    fn write_record(&mut self, record: &Record) -> Result<(), VersionsError> {
+    fn write_record(&mut self, record: &VotingRecord) -> Result<(), VersionsError> {
         self.records += 1;
         let file = RecordFile { disk: self.disk, record: record.clone() };
         self.record_folder.write(name(self.records), &encode(&file))?;
@@ -266,7 +268,7 @@
 
 enum Found {
     Empty,
-    Whole(Box<Stored<ControlState>>),
+    Whole(Box<DurableState<ControlState>>),
     Forgotten,
 }
 
--- a/crates/control-plane/src/core/storage/tests.rs
+++ b/crates/control-plane/src/core/storage/tests.rs
@@ -38,12 +38,12 @@
     Some((Version { epoch: 1, sequence, digest: state.digest() }, Arc::new(state.clone())))
 }
 
-fn promised(stored: &Stored<ControlState>, round: u64) -> Record {
+fn promised(stored: &DurableState<ControlState>, round: u64) -> VotingRecord {
     let view = stored.record.acceptor.view.clone();
     let mut acceptor = Acceptor::new(view);
     let proposer = Identity { node: "b".to_owned(), disk: 7 };
     acceptor.prepare(&Ballot { round, proposer }).expect("promised");
-    Record { acceptor, held: None }
+    VotingRecord { acceptor, persist_request: None }
 }
 
 fn files(path: &Path, name: &str) -> Vec<PathBuf> {
@@ -55,7 +55,7 @@
 }
 
 /// A disk with an identity, two records and two values, and what it held last.
-fn filled(name: &str) -> (PathBuf, Identity, Record) {
+fn filled(name: &str) -> (PathBuf, Identity, VotingRecord) {
     let path = folder(name);
     let opened = Storage::open(&settings(&path, true)).expect("opened");
     let first = promised(&opened.stored, 1);
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -3,7 +3,9 @@
 use actix_web::http::StatusCode;
 use actix_web::web::{self, Bytes, Data};
 use actix_web::HttpResponse;
-use fennelgauge_coordination::{GiveUp, GiveUpRefusal, GivenUp, GroupNumber, HolderSeen, LastHolder, View};
+use fennelgauge_coordination::{
+    GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, LastHolder, View,
+};
 use fennelgauge_wire::{CoreReply, CoreRequest, GiveUpReply, GroupReply, GroupReport};
 use serde::{Deserialize, Serialize};
 
@@ -72,7 +74,7 @@
             return refusal(StatusCode::BAD_REQUEST, &format!("the body is no such order: {reason}"))
         }
     };
-    let order = GiveUp { group, epoch: body.view, holders: body.holders, forced: body.force };
+    let order = GiveUpRequest { group, epoch: body.view, holders: body.holders, forced: body.force };
     let head = |view: &View| view.head().cloned();
     match operator.ask(head, CoreRequest::GiveUp(order), ORDER_TIMEOUT).await {
         Some(CoreReply::GiveUp(GiveUpReply::Done)) => HttpResponse::Ok().finish(),
@@ -95,10 +97,10 @@
     refusal(StatusCode::NOT_FOUND, &format!("{group:?} is no group: groups are numbered from 0"))
 }
 
-fn refused(reason: &GiveUpRefusal) -> HttpResponse {
+fn refused(reason: &GiveUpError) -> HttpResponse {
     let status = match reason {
-        GiveUpRefusal::UnknownGroup(_) => StatusCode::NOT_FOUND,
-        GiveUpRefusal::OtherView { .. } => StatusCode::PRECONDITION_FAILED,
+        GiveUpError::UnknownGroup(_) => StatusCode::NOT_FOUND,
+        GiveUpError::StaleView { .. } => StatusCode::PRECONDITION_FAILED,
         _ => StatusCode::CONFLICT,
     };
     refusal(status, &reason.to_string())
@@ -106,13 +108,13 @@
 
 impl From<GroupReport> for GroupBody {
     fn from(report: GroupReport) -> Self {
-        let holder = |HolderSeen { holder, silent_for }: HolderSeen| HolderBody {
+        let holder = |HolderStatus { holder, silent_for }: HolderStatus| HolderBody {
             node: holder.node,
             entries: holder.entries,
             heard: silent_for.is_none(),
             silent_s: silent_for.map_or(0, |silent_for| silent_for.as_secs()),
         };
-        let given_up = |GivenUp { order, begun_in, at_ms }: GivenUp| GivenUpBody {
+        let given_up = |GiveUpRecord { order, incarnation: begun_in, at_ms }: GiveUpRecord| GivenUpBody {
             view: order.epoch,
             begun_in,
             holders: order.holders,
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Identity, Planner, StoreNumber, StoreView};
+use fennelgauge_coordination::{GroupNumber, Identity, Planner, StoreNumber, StoreReport, StoreView};
 use fennelgauge_wire::StorePresence;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
@@ -40,7 +40,7 @@
 }
 
 struct HeardAt {
-    heard: Heard,
+    heard: StoreReport,
     at: Instant,
 }
 
@@ -104,10 +104,10 @@
     }
 
     /// The stores heard of late, in a fixed order.
-    pub fn fresh(&self) -> Vec<Heard> {
+    pub fn fresh(&self) -> Vec<StoreReport> {
         let mut stores = self.heard.borrow_mut();
         stores.retain(|_, heard| heard.at.elapsed() < LOST_AFTER);
-        let mut fresh: Vec<Heard> = stores.values().map(|heard| heard.heard.clone()).collect();
+        let mut fresh: Vec<StoreReport> = stores.values().map(|heard| heard.heard.clone()).collect();
         fresh.sort_by(|left, right| left.member.identity.cmp(&right.member.identity));
         fresh
     }
@@ -148,14 +148,14 @@
 }
 
 /// Puts the names of batch jobs on record whose holders are all silent: nobody else may know them any more.
-async fn record_names(core: &Rc<Core>, state: &ControlState, heard: &[Heard]) {
+async fn record_names(core: &Rc<Core>, state: &ControlState, heard: &[StoreReport]) {
     let view = &state.small.stores;
     let is_heard = |number: &StoreNumber| {
         let store = view.store(*number);
         store.is_some_and(|store| heard.iter().any(|heard| heard.member.identity == store.member.identity))
     };
     let lost = GroupNumber::all().filter(|group| {
-        let holders = view.holders_on_record(*group);
+        let holders = view.recorded_holders(*group);
         !holders.is_empty() && !holders.iter().any(is_heard)
     });
     let names: BTreeMap<GroupNumber, BTreeSet<String>> = lost
@@ -172,7 +172,12 @@
 }
 
 /// The change to make, or none if the placement and the retirements are as they should be.
-fn planned(state: &ControlState, heard: &[Heard], losses: usize, may_begin: bool) -> Option<StateChange> {
+fn planned(
+    state: &ControlState,
+    heard: &[StoreReport],
+    losses: usize,
+    may_begin: bool,
+) -> Option<StateChange> {
     let view = &state.small.stores;
     let stores = Planner::new(losses, heard, may_begin).plan(view);
     let running =
@@ -184,7 +189,7 @@
 }
 
 /// One line for each group whose stores change, and who was heard.
-fn log_changes(view: &StoreView, next: &StoreView, heard: &[Heard]) {
+fn log_changes(view: &StoreView, next: &StoreView, heard: &[StoreReport]) {
     if !log::log_enabled!(log::Level::Info) {
         return;
     }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
+use fennelgauge_coordination::{
+    content_digest, GiveUpRecord, GiveUpRequest, GroupNumber, Replicated, StoreView,
+};
 use fennelgauge_encoding::{compress, decompress};
 use fennelgauge_model::{patched, Document};
 use fennelgauge_wire::{decode, encode, Order, OrderKind};
@@ -69,14 +71,14 @@
     /// Counts of usage windows, fixed before they are first reported.
     pub usage: BTreeMap<u64, BTreeMap<String, u64>>,
     /// Oldest first.
-    given_up: Vec<GivenUp>,
+    given_up: Vec<GiveUpRecord>,
     /// Names of batch jobs of groups whose holders were all silent.
     names: BTreeMap<GroupNumber, BTreeSet<String>>,
 }
 
 impl SmallState {
     /// Whether that very order was carried out.
-    pub fn has_given_up(&self, order: &GiveUp) -> bool {
+    pub fn has_given_up(&self, order: &GiveUpRequest) -> bool {
         self.given_up.iter().any(|given_up| given_up.order == *order)
     }
 
@@ -86,7 +88,7 @@
     }
 
     /// When and by which orders a group was given up, oldest first.
-    pub fn given_up_of(&self, group: GroupNumber) -> Vec<GivenUp> {
+    pub fn given_up_of(&self, group: GroupNumber) -> Vec<GiveUpRecord> {
         self.given_up.iter().filter(|given_up| given_up.order.group == group).cloned().collect()
     }
 }
@@ -140,7 +142,7 @@
     },
     /// A group is begun anew, with nothing of what it held.
     GiveUp {
-        given_up: GivenUp,
+        given_up: GiveUpRecord,
         stores: StoreView,
     },
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -21,7 +21,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Identity, Member, StoreNumber, StoreView, GROUPS, STORE_LEASE};
+use fennelgauge_coordination::{
+    GroupNumber, Identity, Member, StoreNumber, StoreView, GROUP_COUNT, STORE_LEASE_DURATION,
+};
 use fennelgauge_http::until_stopped;
 use fennelgauge_replication::{Query, Replica, Role};
 use fennelgauge_settings::Settings;
@@ -117,7 +119,7 @@
 impl Store {
     fn open(settings: Rc<Settings>, identity: Identity) -> anyhow::Result<Rc<Self>> {
         let (journal, records) = Journal::open(settings.data_dir.as_deref())?;
-        let mut groups: Vec<Replica> = (0..GROUPS).map(|_| Replica::default()).collect();
+        let mut groups: Vec<Replica> = (0..GROUP_COUNT).map(|_| Replica::default()).collect();
         for record in records {
             restore(&mut groups, record);
         }
@@ -189,7 +191,7 @@
     /// core was not heard for so long that this store may have been given up.
     fn view(&self) -> Rc<StoreView> {
         let view = self.known.stores();
-        let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE);
+        let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE_DURATION);
         match has_lease && view.epoch >= self.earliest_view {
             true => view,
             false => Rc::default(),
--- a/crates/control-plane/src/store/presence.rs
+++ b/crates/control-plane/src/store/presence.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Told};
+use fennelgauge_coordination::{GroupConfirmation, GroupNumber, StoreReport};
 use fennelgauge_wire::{Request, StorePresence};
 use tokio::time::{sleep, timeout};
 
@@ -30,10 +30,10 @@
             }
             let Some(view) = self.known.view() else { continue };
             let Some(head) = view.head() else { continue };
-            let heard = Heard {
+            let heard = StoreReport {
                 member: self.me.clone(),
-                copied: told(&self.copied.borrow()),
-                holds: told(&self.holds.borrow()),
+                copied_groups: told(&self.copied.borrow()),
+                held_groups: told(&self.holds.borrow()),
             };
             let entries = if round % ENTRIES_EVERY == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = names.untold(&self, view.epoch);
@@ -88,6 +88,6 @@
     }
 }
 
-fn told(groups: &BTreeMap<GroupNumber, u64>) -> Vec<Told> {
-    groups.iter().map(|(group, epoch)| Told { group: *group, epoch: *epoch }).collect()
+fn told(groups: &BTreeMap<GroupNumber, u64>) -> Vec<GroupConfirmation> {
+    groups.iter().map(|(group, epoch)| GroupConfirmation { group: *group, epoch: *epoch }).collect()
 }
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use fennelgauge_batch::{Command, Item, ItemOutcome, ItemResult, Job, Page};
-use fennelgauge_coordination::{Group, Newcomer, StoreNumber};
+use fennelgauge_coordination::{Assignment, Group, StoreNumber};
 use fennelgauge_wire::EntryBatch;
 use tokio::task::LocalSet;
 
@@ -59,7 +59,7 @@
 /// A view in which all groups are placed alike.
 fn view(stores: &[Running], epoch: u64, chain: &[u32], learner: Option<u32>) -> StoreView {
     let number = |number: &u32| StoreNumber(*number);
-    let newcomer = |store| Newcomer { store: StoreNumber(store), since: epoch };
+    let newcomer = |store| Assignment { store: StoreNumber(store), since_epoch: epoch };
     let unchanged_since = vec![epoch; chain.len()];
     let chain = chain.iter().map(number).collect();
     let group = Group { chain, unchanged_since, learner: learner.map(newcomer), ..Group::default() };
@@ -73,7 +73,7 @@
             retiring: false,
         });
     }
-    view.groups = vec![group; usize::from(GROUPS)];
+    view.groups = vec![group; usize::from(GROUP_COUNT)];
     view
 }
 
--- a/crates/coordination/src/acceptor.rs
+++ b/crates/coordination/src/acceptor.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the present view takes no more writes here.
-    pub fn sealed(&self) -> bool {
+    pub fn is_sealed(&self) -> bool {
         self.promised.is_some()
     }
 
--- a/crates/coordination/src/giving_up.rs
+++ b/crates/coordination/src/giving_up.rs
@@ -15,9 +15,9 @@
 use crate::{Group, GroupNumber, Planner, StoreNumber, StoreView};
 
 /// A holder that was silent for so long may be given up without force.
-pub const GIVE_UP_AFTER: Duration = Duration::from_secs(120);
+pub const MIN_SILENCE_BEFORE_GIVE_UP: Duration = Duration::from_secs(120);
 /// A store takes part in its view for so long without hearing the core. Half of [`GIVE_UP_AFTER`]: clocks may run unevenly.
-pub const STORE_LEASE: Duration = Duration::from_secs(60);
+pub const STORE_LEASE_DURATION: Duration = Duration::from_secs(60);
 
 /// A holder with what it last told of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 /// The operator's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GiveUp {
+pub struct GiveUpRequest {
     pub group: GroupNumber,
     /// Of the stores' view at which the operator looked.
     pub epoch: u64,
@@ -41,17 +41,17 @@
 
 /// A group that was given up, as it is kept on record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GivenUp {
-    pub order: GiveUp,
+pub struct GiveUpRecord {
+    pub order: GiveUpRequest,
     /// The view in which the group was begun anew.
-    pub begun_in: u64,
+    pub incarnation: u64,
     /// Milliseconds since 1970, on the clock of the head of the core.
     pub at_ms: u64,
 }
 
 /// What the head of the core knows of a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HolderSeen {
+pub struct HolderStatus {
     pub holder: LastHolder,
     /// For how long it has been silent; none while it is heard.
     pub silent_for: Option<Duration>,
@@ -59,26 +59,26 @@
 
 /// Why a group is not given up.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum GiveUpRefusal {
+pub enum GiveUpError {
     #[error("there is no group {0}: ask for the groups that there are")]
     UnknownGroup(u16),
     #[error("view {current} is in force: look at the group again and name that view")]
-    OtherView { current: u64 },
+    StaleView { current: u64 },
     #[error(
         "the group's holders are not those that were named: look at it again, and name each with its entries"
     )]
-    OtherHolders,
+    HolderMismatch,
     #[error("{0} holds the group and is heard: the group opens again from what it has")]
-    IsHeard(String),
+    HolderAlive(String),
     #[error("{node} may come back: wait {seconds} s more for it, or force the order")]
-    MayComeBack { node: String, seconds: u64 },
+    HolderMayReturn { node: String, seconds: u64 },
     #[error("{heard} stores are heard and {needed} are needed to begin the group anew: add stores")]
     TooFewStores { heard: usize, needed: usize },
 }
 
 impl StoreView {
     /// Stores that hold a group or did when they were heard last, the chain's first.
-    pub fn holders_on_record(&self, group: GroupNumber) -> Vec<StoreNumber> {
+    pub fn recorded_holders(&self, group: GroupNumber) -> Vec<StoreNumber> {
         let held = self.group(group);
         held.map(|held| [held.holders(), held.absent.clone()].concat()).unwrap_or_default()
     }
@@ -93,16 +93,16 @@
     pub fn give_up(
         &self,
         view: &StoreView,
-        order: &GiveUp,
-        seen: &[HolderSeen],
+        order: &GiveUpRequest,
+        seen: &[HolderStatus],
         names: Vec<String>,
         after: Duration,
-    ) -> Result<StoreView, GiveUpRefusal> {
+    ) -> Result<StoreView, GiveUpError> {
         let Some(before) = view.group(order.group) else {
-            return Err(GiveUpRefusal::UnknownGroup(order.group.0));
+            return Err(GiveUpError::UnknownGroup(order.group.0));
         };
         if order.epoch != view.epoch {
-            return Err(GiveUpRefusal::OtherView { current: view.epoch });
+            return Err(GiveUpError::StaleView { current: view.epoch });
         }
         check_holders(order, seen)?;
         if !self.has(PlannerBug::GivesUpWhoIsHeard) {
@@ -110,43 +110,43 @@
         }
         let mut next = view.clone();
         next.epoch += 1;
-        let mut begun = Group { begun_in: next.epoch, given_up: names, ..Group::default() };
-        begun.given_up.extend(before.given_up.iter().cloned());
-        let wanted = self.wanted(view);
+        let mut begun = Group { incarnation: next.epoch, given_up_jobs: names, ..Group::default() };
+        begun.given_up_jobs.extend(before.given_up_jobs.iter().cloned());
+        let wanted = self.target_chain_length(view);
         while begun.chain.len() < wanted {
-            let Some(store) = self.best_new(view, order.group, &begun.chain) else { break };
+            let Some(store) = self.pick_store(view, order.group, &begun.chain) else { break };
             begun.chain.push(store);
         }
-        if begun.chain.len() < self.fewest() {
-            let (heard, needed) = (begun.chain.len(), self.fewest());
-            return Err(GiveUpRefusal::TooFewStores { heard, needed });
+        if begun.chain.len() < self.min_holders() {
+            let (heard, needed) = (begun.chain.len(), self.min_holders());
+            return Err(GiveUpError::TooFewStores { heard, needed });
         }
-        begun.date_links(&Group::default(), next.epoch);
-        debug_assert!(before.begun_in < begun.begun_in);
+        begun.update_unchanged_since(&Group::default(), next.epoch);
+        debug_assert!(before.incarnation < begun.incarnation);
         next.groups[usize::from(order.group.0)] = begun;
-        self.forget_lost(&mut next);
+        self.remove_unused_stores(&mut next);
         Ok(next)
     }
 }
 
-fn check_holders(order: &GiveUp, seen: &[HolderSeen]) -> Result<(), GiveUpRefusal> {
+fn check_holders(order: &GiveUpRequest, seen: &[HolderStatus]) -> Result<(), GiveUpError> {
     let mut named = order.holders.clone();
     let mut known: Vec<LastHolder> = seen.iter().map(|seen| seen.holder.clone()).collect();
     named.sort();
     known.sort();
     match named == known {
         true => Ok(()),
-        false => Err(GiveUpRefusal::OtherHolders),
+        false => Err(GiveUpError::HolderMismatch),
     }
 }
 
-fn check_silence(order: &GiveUp, seen: &[HolderSeen], after: Duration) -> Result<(), GiveUpRefusal> {
-    for HolderSeen { holder, silent_for } in seen {
-        let Some(silent_for) = silent_for else { return Err(GiveUpRefusal::IsHeard(holder.node.clone())) };
+fn check_silence(order: &GiveUpRequest, seen: &[HolderStatus], after: Duration) -> Result<(), GiveUpError> {
+    for HolderStatus { holder, silent_for } in seen {
+        let Some(silent_for) = silent_for else { return Err(GiveUpError::HolderAlive(holder.node.clone())) };
         let left = after.saturating_sub(*silent_for);
         if !left.is_zero() && !order.forced {
             let seconds = left.as_secs_f64().ceil() as u64;
-            return Err(GiveUpRefusal::MayComeBack { node: holder.node.clone(), seconds });
+            return Err(GiveUpError::HolderMayReturn { node: holder.node.clone(), seconds });
         }
     }
     Ok(())
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -16,18 +16,21 @@
 mod view;
 
 pub use acceptor::{Acceptor, Ballot};
-pub use coordinator::{Coordinator, Progress, Question};
-pub use giving_up::{GiveUp, GiveUpRefusal, GivenUp, HolderSeen, LastHolder, GIVE_UP_AFTER, STORE_LEASE};
+pub use coordinator::{Coordinator, Progress, QuorumCheck};
+pub use giving_up::{
+    GiveUpError, GiveUpRecord, GiveUpRequest, HolderStatus, LastHolder, MIN_SILENCE_BEFORE_GIVE_UP,
+    STORE_LEASE_DURATION,
+};
 pub use identity::{Identity, Member};
-pub use message::{Copying, Envelope, Message};
+pub use message::{Envelope, Message, SnapshotProgress};
 #[cfg(feature = "planted-bugs")]
 pub use placement::PlannerBug;
-pub use placement::{Heard, Planner, Told};
+pub use placement::{GroupConfirmation, Planner, StoreReport};
 #[cfg(feature = "planted-bugs")]
 pub use replica::PlantedBug;
-pub use replica::{NotTaken, Outcome, Record, Replica, Stored};
-pub use sampling::{PartialView, Peer, Sighting, Swap};
-pub use stores::{Group, GroupNumber, Newcomer, Store, StoreNumber, StoreView, GROUPS};
+pub use replica::{DurableState, Effects, Replica, VotingRecord, WriteRefusal};
+pub use sampling::{PartialView, Peer, PeerEntry, Shuffle};
+pub use stores::{Assignment, Group, GroupNumber, Store, StoreNumber, StoreView, GROUP_COUNT};
 pub use timing::Timing;
-pub use version::{content_digest, Replicated, Step, Version};
-pub use view::{next_view, Judgement, View, ViewRules};
+pub use version::{content_digest, LogEntry, Replicated, Version};
+pub use view::{next_view, ClusterStatus, View, ViewRules};
--- a/crates/coordination/src/liveness.rs
+++ b/crates/coordination/src/liveness.rs
@@ -6,17 +6,17 @@
 use crate::{Identity, Member, Version};
 
 /// Rounds of pings whose answers are still counted.
-const ROUNDS_KEPT: usize = 16;
+const MAX_TRACKED_ROUNDS: usize = 16;
 
 #[derive(Clone, Debug)]
-struct Round {
+struct PingRound {
     number: u64,
     sent_at: Duration,
     standing: BTreeSet<Identity>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastContact {
     at: Duration,
     version: Version,
 }
@@ -24,8 +24,8 @@
 /// What the answers to pings tell.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Liveness {
-    heard: BTreeMap<Identity, Heard>,
-    rounds: VecDeque<Round>,
+    heard: BTreeMap<Identity, LastContact>,
+    rounds: VecDeque<PingRound>,
     last_round: u64,
     confirmed_round: u64,
 }
@@ -40,7 +40,7 @@
     pub fn begin_view(&mut self, now: Duration, voters: &[Member]) {
         self.rounds.clear();
         for voter in voters {
-            let heard = Heard { at: now, version: Version::default() };
+            let heard = LastContact { at: now, version: Version::default() };
             self.heard.entry(voter.identity.clone()).or_insert(heard).at = now;
         }
     }
@@ -48,8 +48,8 @@
     /// Begins a round of pings; gives its number.
     pub fn begin_round(&mut self, now: Duration) -> u64 {
         self.last_round += 1;
-        self.rounds.push_back(Round { number: self.last_round, sent_at: now, standing: BTreeSet::new() });
-        while self.rounds.len() > ROUNDS_KEPT {
+        self.rounds.push_back(PingRound { number: self.last_round, sent_at: now, standing: BTreeSet::new() });
+        while self.rounds.len() > MAX_TRACKED_ROUNDS {
             self.rounds.pop_front();
         }
         self.last_round
@@ -58,7 +58,7 @@
     /// A machine has answered a round: it was there when the round began. False where the round no longer counts.
     pub fn hear(&mut self, from: &Member, number: u64, version: Version) -> bool {
         let Some(round) = self.rounds.iter().find(|round| round.number == number) else { return false };
-        let heard = Heard { at: round.sent_at, version };
+        let heard = LastContact { at: round.sent_at, version };
         let known = self.heard.entry(from.identity.clone()).or_insert(heard.clone());
         if known.at <= heard.at {
             *known = heard;
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Ballot, Member, Step, Version, View};
+use crate::{Ballot, LogEntry, Member, Version, View};
 
 /// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -18,12 +18,12 @@
     /// Asks whether the view still stands there.
     Ping {
         epoch: u64,
-        number: u64,
+        round: u64,
         committed: Option<Version>,
     },
     Pong {
         epoch: u64,
-        number: u64,
+        round: u64,
         sealed: bool,
         version: Version,
     },
@@ -39,18 +39,18 @@
         version: Version,
     },
     /// A higher ballot was promised.
-    Refused {
+    Rejected {
         epoch: u64,
         promised: Ballot,
     },
     /// Put this version on the disk and keep it until the ballot is over.
-    Hold {
+    Persist {
         epoch: u64,
         ballot: Ballot,
         version: Version,
         source: SocketAddr,
     },
-    Holding {
+    Persisted {
         epoch: u64,
         ballot: Ballot,
         version: Version,
@@ -66,18 +66,18 @@
         ballot: Ballot,
     },
     /// A decided view.
-    Install {
+    InstallView {
         view: View,
     },
     /// The sender knows of no later view than this.
-    Behind {
+    ViewRequest {
         epoch: u64,
     },
     /// A write on its way along the chain; without a step the receiver is to fetch what it lacks.
     Append {
         epoch: u64,
         version: Version,
-        step: Option<Step>,
+        entry: Option<LogEntry>,
     },
     /// Every link has this version on its disk.
     Committed {
@@ -85,24 +85,24 @@
         version: Version,
     },
     /// What the sender has; asks for what it lacks.
-    Follow {
+    CatchUpRequest {
         epoch: u64,
-        have: Version,
-        copying: Option<Copying>,
+        current: Version,
+        snapshot_progress: Option<SnapshotProgress>,
         /// Exactly this version; else whatever is committed.
-        wanted: Option<Version>,
+        target: Option<Version>,
         /// Whether the sender may become a voter.
         eligible: bool,
     },
     /// The follower lacks nothing.
-    Level {
+    UpToDate {
         version: Version,
     },
-    Steps {
-        steps: Vec<Step>,
+    LogEntries {
+        entries: Vec<LogEntry>,
     },
     /// A part of a whole copy.
-    Piece {
+    SnapshotChunk {
         version: Version,
         total: u64,
         offset: u64,
@@ -113,7 +113,7 @@
 
 /// How far a whole copy has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Copying {
+pub struct SnapshotProgress {
     pub version: Version,
     pub offset: u64,
 }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 use strum::EnumIter;
 
-use crate::{Group, GroupNumber, Member, Newcomer, Store, StoreNumber, StoreView};
+use crate::{Assignment, Group, GroupNumber, Member, Store, StoreNumber, StoreView};
 
 /// What a store told of its part in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Told {
+pub struct GroupConfirmation {
     pub group: GroupNumber,
     /// The newest view in which it is so.
     pub epoch: u64,
@@ -18,26 +18,26 @@
 
 /// A store that was heard of late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Heard {
+pub struct StoreReport {
     pub member: Member,
     /// Groups of which it has a copy, as a learner.
-    pub copied: Vec<Told>,
+    pub copied_groups: Vec<GroupConfirmation>,
     /// Groups of which it has everything, as a link.
-    pub holds: Vec<Told>,
+    pub held_groups: Vec<GroupConfirmation>,
 }
 
 /// Works out the next placement from what is known of the stores.
 pub struct Planner<'a> {
-    losses: usize,
-    heard: &'a [Heard],
-    may_begin: bool,
+    max_failures: usize,
+    reports: &'a [StoreReport],
+    may_bootstrap: bool,
     planted: Option<PlannerBug>,
 }
 
 impl<'a> Planner<'a> {
     /// `losses` at once must be outlived by each chain; the first placement is made with the stores that are there if it `may_begin`.
-    pub fn new(losses: usize, heard: &'a [Heard], may_begin: bool) -> Self {
-        Self { losses, heard, may_begin, planted: None }
+    pub fn new(losses: usize, heard: &'a [StoreReport], may_begin: bool) -> Self {
+        Self { max_failures: losses, reports: heard, may_bootstrap: may_begin, planted: None }
     }
 
     /// Plants a mistake, to see that it is found.
@@ -52,10 +52,10 @@
         let mut next = view.clone();
         self.register(&mut next);
         match next.groups.is_empty() {
-            true => self.begin(&mut next),
+            true => self.bootstrap(&mut next),
             false => self.repair(&mut next),
         }
-        self.forget_lost(&mut next);
+        self.remove_unused_stores(&mut next);
         if next == *view {
             return None;
         }
@@ -63,13 +63,13 @@
         let groups = next.groups.iter().zip(&view.groups);
         let is_news = next.stores != view.stores
             || next.groups.len() != view.groups.len()
-            || groups.clone().any(|(is, was)| is.differs_for_others(was));
+            || groups.clone().any(|(is, was)| is.differs_for_stores(was));
         next.epoch += u64::from(is_news);
         Some(next)
     }
 
     fn register(&self, view: &mut StoreView) {
-        for member in self.heard.iter().map(|heard| &heard.member) {
+        for member in self.reports.iter().map(|heard| &heard.member) {
             match view.stores.iter_mut().find(|store| store.member.identity == member.identity) {
                 Some(store) => store.member = member.clone(),
                 None => {
@@ -82,73 +82,73 @@
     }
 
     /// Holders without which a group is closed.
-    pub(crate) fn fewest(&self) -> usize {
+    pub(crate) fn min_holders(&self) -> usize {
         match self.has(PlannerBug::OneHolderFewer) {
-            true => self.losses.max(1),
-            false => self.losses + 1,
+            true => self.max_failures.max(1),
+            false => self.max_failures + 1,
         }
     }
 
     /// Links that a chain should have: one more than must be kept, so that a loss needs no copying at once.
-    pub(crate) fn wanted(&self, view: &StoreView) -> usize {
-        let usable = view.stores.iter().filter(|store| self.usable(store)).count();
-        (self.losses + 2).min(usable.max(self.fewest()))
+    pub(crate) fn target_chain_length(&self, view: &StoreView) -> usize {
+        let usable = view.stores.iter().filter(|store| self.is_usable(store)).count();
+        (self.max_failures + 2).min(usable.max(self.min_holders()))
     }
 
     pub(crate) fn has(&self, bug: PlannerBug) -> bool {
         self.planted == Some(bug)
     }
 
-    fn heard(&self, store: &Store) -> Option<&Heard> {
-        self.heard.iter().find(|heard| heard.member.identity == store.member.identity)
+    fn report_of(&self, store: &Store) -> Option<&StoreReport> {
+        self.reports.iter().find(|heard| heard.member.identity == store.member.identity)
     }
 
-    fn usable(&self, store: &Store) -> bool {
-        !store.retiring && self.heard(store).is_some()
+    fn is_usable(&self, store: &Store) -> bool {
+        !store.retiring && self.report_of(store).is_some()
     }
 
-    fn lives(&self, view: &StoreView, number: StoreNumber) -> bool {
-        view.store(number).is_some_and(|store| self.heard(store).is_some())
+    fn is_alive(&self, view: &StoreView, number: StoreNumber) -> bool {
+        view.store(number).is_some_and(|store| self.report_of(store).is_some())
     }
 
     /// Whether a store told, of a view in which it had its part already, what `told` picks.
-    fn has_told(
+    fn has_confirmed(
         &self,
         view: &StoreView,
-        newcomer: Newcomer,
+        newcomer: Assignment,
         group: GroupNumber,
-        told: impl Fn(&Heard) -> &[Told],
+        told: impl Fn(&StoreReport) -> &[GroupConfirmation],
     ) -> bool {
-        let heard = view.store(newcomer.store).and_then(|store| self.heard(store));
+        let heard = view.store(newcomer.store).and_then(|store| self.report_of(store));
         let since = match self.has(PlannerBug::WordOfAnEarlierStay) {
             true => 0,
-            false => newcomer.since,
+            false => newcomer.since_epoch,
         };
         heard.is_some_and(|heard| told(heard).iter().any(|told| told.group == group && told.epoch >= since))
     }
 
-    fn begin(&self, view: &mut StoreView) {
-        let usable = view.stores.iter().filter(|store| self.usable(store)).count();
-        if !self.may_begin || usable < self.fewest() {
+    fn bootstrap(&self, view: &mut StoreView) {
+        let usable = view.stores.iter().filter(|store| self.is_usable(store)).count();
+        if !self.may_bootstrap || usable < self.min_holders() {
             return;
         }
-        let wanted = self.wanted(view);
+        let wanted = self.target_chain_length(view);
         let mut groups = Vec::new();
         for group in GroupNumber::all() {
             let mut chain = Vec::new();
             while chain.len() < wanted {
-                let Some(next) = self.best_new(view, group, &chain) else { break };
+                let Some(next) = self.pick_store(view, group, &chain) else { break };
                 chain.push(next);
             }
             let mut group = Group { chain, ..Group::default() };
-            group.date_links(&Group::default(), view.epoch + 1);
+            group.update_unchanged_since(&Group::default(), view.epoch + 1);
             groups.push(group);
         }
         view.groups = groups;
     }
 
     /// The store to add to a chain: in a zone that the chain lacks, else by the group's own ranking.
-    pub(crate) fn best_new(
+    pub(crate) fn pick_store(
         &self,
         view: &StoreView,
         group: GroupNumber,
@@ -159,7 +159,7 @@
             .filter_map(|number| view.store(*number))
             .map(|store| store.member.zone.as_str())
             .collect();
-        let free = view.stores.iter().filter(|store| self.usable(store) && !chain.contains(&store.number));
+        let free = view.stores.iter().filter(|store| self.is_usable(store) && !chain.contains(&store.number));
         let rank = |store: &&Store| {
             let same_zone = zones.iter().filter(|zone| **zone == store.member.zone).count();
             (same_zone, ranked(group, store.number))
@@ -168,39 +168,41 @@
     }
 
     fn repair(&self, view: &mut StoreView) {
-        let wanted = self.wanted(view);
+        let wanted = self.target_chain_length(view);
         for number in GroupNumber::all() {
             let Some(mut group) = view.group(number).cloned() else { continue };
-            self.admit(view, number, &mut group);
-            self.put_silent_out(view, &mut group);
-            self.put_retiring_out(view, &mut group, wanted);
-            self.find_learner(view, number, &mut group, wanted);
+            self.promote(view, number, &mut group);
+            self.remove_silent(view, &mut group);
+            self.remove_retiring(view, &mut group, wanted);
+            self.assign_learner(view, number, &mut group, wanted);
             if let Some(before) = view.group(number) {
-                group.date_links(before, view.epoch + 1);
+                group.update_unchanged_since(before, view.epoch + 1);
             }
             view.groups[usize::from(number.0)] = group;
         }
     }
 
     /// Joining links that have everything are holders; a learner that has a copy joins the chain.
-    fn admit(&self, view: &StoreView, number: GroupNumber, group: &mut Group) {
-        group.joining.retain(|newcomer| !self.has_told(view, *newcomer, number, |heard| &heard.holds));
-        let lives = |newcomer: &Newcomer| self.lives(view, newcomer.store);
-        group.learner = group.learner.filter(lives).filter(|learner| !group.names(learner.store));
+    fn promote(&self, view: &StoreView, number: GroupNumber, group: &mut Group) {
+        group
+            .joining
+            .retain(|newcomer| !self.has_confirmed(view, *newcomer, number, |heard| &heard.held_groups));
+        let lives = |newcomer: &Assignment| self.is_alive(view, newcomer.store);
+        group.learner = group.learner.filter(lives).filter(|learner| !group.may_hold_data(learner.store));
         let Some(learner) = group.learner else { return };
-        if self.has_told(view, learner, number, |heard| &heard.copied) {
+        if self.has_confirmed(view, learner, number, |heard| &heard.copied_groups) {
             group.learner = None;
             group.chain.push(learner.store);
             if !self.has(PlannerBug::JoiningCountsAsHolder) {
-                group.joining.push(Newcomer { store: learner.store, since: view.epoch + 1 });
+                group.joining.push(Assignment { store: learner.store, since_epoch: view.epoch + 1 });
             }
         }
     }
 
     /// Silent links leave the chain; absent holders that are heard again come back. Where nobody who holds the group is heard,
     /// it stays as it is.
-    fn put_silent_out(&self, view: &StoreView, group: &mut Group) {
-        let lives = |store: &StoreNumber| self.lives(view, *store);
+    fn remove_silent(&self, view: &StoreView, group: &mut Group) {
+        let lives = |store: &StoreNumber| self.is_alive(view, *store);
         let (mut holders, silent): (Vec<StoreNumber>, Vec<StoreNumber>) =
             group.holders().into_iter().partition(lives);
         let (back, still_absent): (Vec<StoreNumber>, Vec<StoreNumber>) =
@@ -214,7 +216,7 @@
         if !self.has(PlannerBug::SilentNewcomersStay) {
             group.joining.retain(|newcomer| lives(&newcomer.store));
         }
-        let enough = holders.len() >= self.fewest() || self.has(PlannerBug::SilentHoldersAreDropped);
+        let enough = holders.len() >= self.min_holders() || self.has(PlannerBug::SilentHoldersAreDropped);
         group.absent = match enough {
             true => Vec::new(),
             false if self.has(PlannerBug::EarlierAbsentAreForgotten) => silent,
@@ -229,8 +231,9 @@
 
     /// A planted mistake: stores that have copied nothing are links at once.
     fn fill(&self, view: &StoreView, group: &mut Group) {
-        while group.chain.len() < self.fewest() {
-            let free = view.stores.iter().find(|store| self.usable(store) && !group.names(store.number));
+        while group.chain.len() < self.min_holders() {
+            let free =
+                view.stores.iter().find(|store| self.is_usable(store) && !group.may_hold_data(store.number));
             let Some(free) = free else { return };
             group.chain.push(free.number);
         }
@@ -238,7 +241,7 @@
     }
 
     /// Retiring links leave once enough others hold the group; so do newcomers that are not needed any more.
-    fn put_retiring_out(&self, view: &StoreView, group: &mut Group, wanted: usize) {
+    fn remove_retiring(&self, view: &StoreView, group: &mut Group, wanted: usize) {
         let stays = |number: &StoreNumber| view.store(*number).is_some_and(|store| !store.retiring);
         if group.holders().iter().filter(|store| stays(store)).count() < wanted {
             return;
@@ -248,19 +251,19 @@
         group.learner = None;
     }
 
-    fn find_learner(&self, view: &StoreView, number: GroupNumber, group: &mut Group, wanted: usize) {
+    fn assign_learner(&self, view: &StoreView, number: GroupNumber, group: &mut Group, wanted: usize) {
         let stays = |number: &&StoreNumber| view.store(**number).is_some_and(|store| !store.retiring);
         if group.learner.is_some() || group.chain.iter().filter(stays).count() >= wanted {
             return;
         }
-        let learner = self.best_new(view, number, &group.chain);
-        group.learner = learner.map(|store| Newcomer { store, since: view.epoch + 1 });
+        let learner = self.pick_store(view, number, &group.chain);
+        group.learner = learner.map(|store| Assignment { store, since_epoch: view.epoch + 1 });
     }
 
     /// Stores that are gone and hold nothing are no longer listed.
-    pub(crate) fn forget_lost(&self, view: &mut StoreView) {
+    pub(crate) fn remove_unused_stores(&self, view: &mut StoreView) {
         let used: BTreeSet<StoreNumber> = view.groups.iter().flat_map(Group::all_stores).collect();
-        view.stores.retain(|store| used.contains(&store.number) || self.heard(store).is_some());
+        view.stores.retain(|store| used.contains(&store.number) || self.report_of(store).is_some());
     }
 }
 
--- a/crates/coordination/src/replica/chain.rs
+++ b/crates/coordination/src/replica/chain.rs
@@ -4,46 +4,46 @@
 use std::sync::Arc;
 
 use super::{PlantedBug, Replica};
-use crate::{Member, Message, Outcome, Replicated, Step, Version};
+use crate::{Effects, LogEntry, Member, Message, Replicated, Version};
 
 /// Why the head takes no write now. Asking again is always right.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotTaken {
+pub enum WriteRefusal {
     #[error("this machine is not the head of the chain: ask the head")]
     NotHead,
     #[error("the view is being changed, or an earlier write is not committed yet: ask again")]
-    NotSettled,
+    NotReady,
     #[error("the change cannot be applied: report this as a fault of the program")]
-    Unreadable,
+    InvalidChange,
 }
 
 /// A longer change is fetched by each link in pieces instead of being sent along.
-const LONGEST_STEP_SENT: usize = 64 << 10;
+const MAX_INLINE_ENTRY_BYTES: usize = 64 << 10;
 
 impl<S: Replicated> Replica<S> {
     /// Whether all that this head has is committed and it may make the next version.
-    pub fn takes_writes(&self) -> Result<(), NotTaken> {
+    pub fn check_writable(&self) -> Result<(), WriteRefusal> {
         if !self.is_head() {
-            return Err(NotTaken::NotHead);
+            return Err(WriteRefusal::NotHead);
         }
-        let settled = self.committed == Some(self.version) || self.has(PlantedBug::RefusalInDoubt);
-        let enough = self.view().chain.len() >= self.rules.fewest_links(self.view().voters.len());
+        let settled = self.committed_version == Some(self.version) || self.has(PlantedBug::RefusalInDoubt);
+        let enough = self.view().chain.len() >= self.rules.min_chain_length(self.view().voters.len());
         match settled && self.may_append() && (enough || self.has(PlantedBug::ChainMayBeShort)) {
             true => Ok(()),
-            false => Err(NotTaken::NotSettled),
+            false => Err(WriteRefusal::NotReady),
         }
     }
 
     /// Makes the next version and sends it on its way; it is committed once [`Replica::committed`] has reached it.
-    pub fn write(&mut self, change: Vec<u8>) -> Result<(Version, Outcome), NotTaken> {
-        self.takes_writes()?;
-        let value = self.value.apply(&change).ok_or(NotTaken::Unreadable)?;
+    pub fn write(&mut self, change: Vec<u8>) -> Result<(Version, Effects), WriteRefusal> {
+        self.check_writable()?;
+        let value = self.value.apply(&change).ok_or(WriteRefusal::InvalidChange)?;
         let result =
             Version { epoch: self.view().epoch, sequence: self.version.sequence + 1, digest: value.digest() };
-        let step = Step { base: self.version, change: Some(change), result };
+        let step = LogEntry { base: self.version, change: Some(change), result };
         self.take_step(step.clone(), Arc::new(value));
         if self.has(PlantedBug::HeadCommitsAlone) {
-            self.committed = Some(result);
+            self.committed_version = Some(result);
         }
         self.pass_on(Some(step));
         Ok((result, self.finish()))
@@ -51,8 +51,8 @@
 
     /// As the head, sends what is not known to be committed on its way once more: links that have it pass it on, others
     /// fetch it.
-    pub fn settle(&mut self) -> Outcome {
-        if self.is_head() && self.may_append() && self.committed != Some(self.version) {
+    pub fn resend_uncommitted(&mut self) -> Effects {
+        if self.is_head() && self.may_append() && self.committed_version != Some(self.version) {
             self.pass_on(None);
         }
         self.finish()
@@ -60,15 +60,15 @@
 
     pub(super) fn may_append(&self) -> bool {
         let sealed = self.is_sealed() && !self.has(PlantedBug::SealedTakesWrites);
-        self.is_link() && self.is_level() && !sealed
+        self.is_link() && self.is_caught_up() && !sealed
     }
 
-    pub(super) fn append(&mut self, from: &Member, epoch: u64, version: Version, step: Option<Step>) {
+    pub(super) fn append(&mut self, from: &Member, epoch: u64, version: Version, step: Option<LogEntry>) {
         if !self.in_epoch(from, epoch) || !self.is_link() || version.epoch != epoch {
             return;
         }
         let sealed = self.is_sealed() && !self.has(PlantedBug::SealedTakesWrites);
-        if sealed || self.view().successor(&from.identity) != Some(&self.me) {
+        if sealed || self.view().successor(&from.identity) != Some(&self.own_member) {
             return;
         }
         if self.version == version {
@@ -85,7 +85,7 @@
     }
 
     /// A step that leads on from the present version, with its result checked.
-    pub(super) fn applied(&self, step: Step) -> Option<(Step, S)> {
+    pub(super) fn applied(&self, step: LogEntry) -> Option<(LogEntry, S)> {
         if step.base != self.version {
             return None;
         }
@@ -96,32 +96,32 @@
         (value.digest() == step.result.digest).then_some((step, value))
     }
 
-    pub(super) fn take_step(&mut self, step: Step, value: Arc<S>) {
+    pub(super) fn take_step(&mut self, step: LogEntry, value: Arc<S>) {
         self.put_version(step.result, value);
-        self.recent.push(step);
+        self.recent_log.push(step);
     }
 
     /// This machine has its version on the disk when the message leaves: the successor is next, or all links are told.
-    pub(super) fn pass_on(&mut self, step: Option<Step>) {
+    pub(super) fn pass_on(&mut self, step: Option<LogEntry>) {
         let (epoch, version) = (self.view().epoch, self.version);
-        if let Some(successor) = self.view().successor(&self.me.identity) {
-            let step = step.filter(|step| step.size() <= LONGEST_STEP_SENT);
+        if let Some(successor) = self.view().successor(&self.own_member.identity) {
+            let step = step.filter(|step| step.size() <= MAX_INLINE_ENTRY_BYTES);
             let peer = successor.peer;
-            return self.send(peer, Message::Append { epoch, version, step });
+            return self.send(peer, Message::Append { epoch, version, entry: step });
         }
         let links: Vec<_> = self.view().chain.iter().map(|link| link.peer).collect();
         for peer in links {
             self.send(peer, Message::Committed { epoch, version });
         }
         if self.has(PlantedBug::TailCommitsUnwritten) {
-            self.outcome.write_value = false;
+            self.effects.write_value = false;
         }
     }
 
     pub(super) fn learn_committed(&mut self, epoch: u64, version: Version) {
         let here = epoch == self.view().epoch && version.epoch == epoch && self.is_link();
-        if here && self.committed.is_none_or(|known| known < version) {
-            self.committed = Some(version);
+        if here && self.committed_version.is_none_or(|known| known < version) {
+            self.committed_version = Some(version);
         }
     }
 }
--- a/crates/coordination/src/replica/deciding.rs
+++ b/crates/coordination/src/replica/deciding.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use super::{PlantedBug, Replica};
-use crate::{Acceptor, Ballot, Identity, Member, Message, Outcome, Replicated, Step, Version, View};
+use crate::{Acceptor, Ballot, Effects, Identity, LogEntry, Member, Message, Replicated, Version, View};
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -43,15 +43,15 @@
 
 impl<S: Replicated> Replica<S> {
     /// Begins an attempt to have `wished` decided; an earlier attempt of this machine's ends.
-    pub fn propose(&mut self, wished: View) -> Outcome {
+    pub fn propose(&mut self, wished: View) -> Effects {
         self.highest_round += 1;
-        let ballot = Ballot { round: self.highest_round, proposer: self.me.identity.clone() };
+        let ballot = Ballot { round: self.highest_round, proposer: self.own_member.identity.clone() };
         self.attempt = Some(Attempt {
             phase: Phase::Preparing,
             ballot,
             proposal: wished,
             taken_up: false,
-            source: self.me.peer,
+            source: self.own_member.peer,
             promises: BTreeMap::new(),
             holding: BTreeSet::new(),
             accepted: BTreeSet::new(),
@@ -64,12 +64,12 @@
         self.attempt.as_ref().map(|attempt| attempt.phase)
     }
 
-    pub(crate) fn give_up_attempt(&mut self) {
+    pub(crate) fn abandon_attempt(&mut self) {
         self.attempt = None;
     }
 
     /// Asks again whoever has not answered in the present phase.
-    pub fn ask_again(&mut self) -> Outcome {
+    pub fn resend_requests(&mut self) -> Effects {
         match self.phase() {
             Some(Phase::Preparing) => self.ask_voters_to_promise(),
             Some(Phase::Holding) => self.ask_to_hold(),
@@ -88,7 +88,7 @@
 
     fn ask_to_hold(&mut self) {
         let Some(attempt) = &self.attempt else { return };
-        let hold = Message::Hold {
+        let hold = Message::Persist {
             epoch: self.view().epoch,
             ballot: attempt.ballot.clone(),
             version: attempt.proposal.start,
@@ -122,7 +122,7 @@
     }
 
     fn own_seat(&self) -> Option<usize> {
-        self.seat_in(self.view(), &self.me)
+        self.seat_in(self.view(), &self.own_member)
     }
 
     fn seat_of(&self, voter: &Member) -> Option<usize> {
@@ -134,7 +134,7 @@
         if self.has(PlantedBug::NameVotes) && view.epoch > 0 {
             return view.voters.iter().position(|seat| seat.identity.node == voter.identity.node);
         }
-        view.seat(voter)
+        view.voter_index(voter)
     }
 
     pub(super) fn prepare(&mut self, from: &Member, epoch: u64, ballot: Ballot) {
@@ -142,7 +142,7 @@
             return;
         }
         if let Err(promised) = self.promise(&ballot) {
-            return self.send(from.peer, Message::Refused { epoch, promised });
+            return self.send(from.peer, Message::Rejected { epoch, promised });
         }
         let accepted = self.record.acceptor.accepted.clone();
         self.send(from.peer, Message::Promised { epoch, ballot, accepted, version: self.version });
@@ -154,7 +154,7 @@
         self.record.acceptor.prepare(ballot)?;
         if before.as_ref() != Some(ballot) {
             // What was asked for under an earlier ballot must not change the version that is told under this one.
-            self.fetch = None;
+            self.catch_up = None;
             self.put_record();
         }
         Ok(())
@@ -194,7 +194,7 @@
         let forget = self.has(PlantedBug::AcceptedIsForgotten);
         let own = self.has(PlantedBug::OwnVersionStarts).then_some(self.version);
         let epoch = self.view().epoch;
-        let own_peer = self.me.peer;
+        let own_peer = self.own_member.peer;
         let Some(attempt) = &mut self.attempt else { return };
         let newest = attempt.promises.values().map(|promise| promise.version).max();
         // At least one voter of any majority is a link that has all of this view; without it nothing is known.
@@ -228,27 +228,27 @@
         version: Version,
         source: SocketAddr,
     ) {
-        let newest = self.newest_view().epoch;
+        let newest = self.latest_view().epoch;
         if newest != epoch {
             self.in_epoch(from, epoch);
             return;
         }
         if self.is_voter() {
             if let Err(promised) = self.promise(&ballot) {
-                return self.send(from.peer, Message::Refused { epoch, promised });
+                return self.send(from.peer, Message::Rejected { epoch, promised });
             }
         }
         let asked = Some((epoch, ballot.clone()));
-        if self.record.held > asked {
+        if self.record.persist_request > asked {
             return;
         }
-        if self.record.held != asked {
-            self.record.held = asked;
-            self.fetch = None;
+        if self.record.persist_request != asked {
+            self.record.persist_request = asked;
+            self.catch_up = None;
             self.put_record();
         }
         if self.version == version {
-            return self.send(from.peer, Message::Holding { epoch, ballot, version });
+            return self.send(from.peer, Message::Persisted { epoch, ballot, version });
         }
         self.fetch_from(source, Some(version), Some((from.peer, epoch, ballot)));
     }
@@ -267,7 +267,7 @@
 
     /// Goes on with the voters that hold the version, if they are enough; a voter that is new must be among them. What may have
     /// been decided stays as it is, even where its links are gone: the view after it will be without them.
-    pub fn go_on_with_holders(&mut self) -> Outcome {
+    pub fn proceed_with_persisted(&mut self) -> Effects {
         let old_voters = self.view().voters.clone();
         let rules = self.rules;
         let short = self.has(PlantedBug::ChainMayBeShort);
@@ -277,7 +277,7 @@
         let proposal = &mut attempt.proposal;
         let holds = |voter: &&Member| attempt.holding.contains(&voter.identity);
         let holders: Vec<Member> = proposal.voters.iter().filter(holds).cloned().collect();
-        let fewest = rules.fewest_links(proposal.voters.len());
+        let fewest = rules.min_chain_length(proposal.voters.len());
         let enough = holders.len() >= fewest || (short && !holders.is_empty());
         let is_new = |voter: &&Member| proposal.epoch > 1 && !old_voters.contains(voter);
         let new_hold = proposal.voters.iter().filter(is_new).all(|voter| holders.contains(voter));
@@ -308,7 +308,7 @@
             self.record.acceptor.promised = None;
         }
         if let Err(promised) = self.record.acceptor.accept(ballot, view) {
-            return self.send(from.peer, Message::Refused { epoch, promised });
+            return self.send(from.peer, Message::Rejected { epoch, promised });
         }
         self.put_record();
         self.send(from.peer, Message::Accepted { epoch, ballot: ballot.clone() });
@@ -326,8 +326,8 @@
         let told: BTreeSet<SocketAddr> =
             self.view().voters.iter().chain(&view.voters).map(|voter| voter.peer).collect();
         // The others learn of the view before this machine sends them its first message as the head.
-        let others: Vec<SocketAddr> = told.into_iter().filter(|peer| *peer != self.me.peer).collect();
-        self.send_all(&others, &Message::Install { view: view.clone() });
+        let others: Vec<SocketAddr> = told.into_iter().filter(|peer| *peer != self.own_member.peer).collect();
+        self.send_all(&others, &Message::InstallView { view: view.clone() });
         self.install(view);
     }
 
@@ -342,27 +342,27 @@
     /// Takes up a decided view; earlier ones are left alone. Whoever has the version that it begins with has it as a
     /// version of the new view from now on.
     pub(super) fn install(&mut self, view: View) {
-        if view.epoch <= self.newest_view().epoch {
+        if view.epoch <= self.latest_view().epoch {
             return;
         }
-        if self.seat_in(&view, &self.me).is_none() {
+        if self.seat_in(&view, &self.own_member).is_none() {
             // What it was to hold for the view that has ended is of no use any more.
-            self.fetch = self.fetch.take().filter(|fetch| !fetch.is_for_ballot());
-            self.heard = Some(view);
+            self.catch_up = self.catch_up.take().filter(|fetch| !fetch.is_for_ballot());
+            self.later_view = Some(view);
             return;
         }
         let starts = view.start == self.version || self.has(PlantedBug::AnyVersionStarts);
         if starts {
-            let result = self.version.in_epoch(view.epoch);
-            let step = Step { base: self.version, change: None, result };
+            let result = self.version.with_epoch(view.epoch);
+            let step = LogEntry { base: self.version, change: None, result };
             self.take_step(step, self.value.clone());
         }
         self.record.acceptor = Acceptor::new(view);
         self.put_record();
-        self.committed = None;
+        self.committed_version = None;
         self.attempt = None;
-        self.fetch = None;
-        self.heard = None;
+        self.catch_up = None;
+        self.later_view = None;
         if self.is_head() && self.may_append() {
             self.pass_on(None);
         }
--- a/crates/coordination/src/replica/following.rs
+++ b/crates/coordination/src/replica/following.rs
@@ -6,37 +6,37 @@
 use std::sync::Arc;
 
 use super::{PlantedBug, Replica};
-use crate::{Ballot, Copying, Member, Message, Outcome, Replicated, Step, Version};
+use crate::{Ballot, Effects, LogEntry, Member, Message, Replicated, SnapshotProgress, Version};
 
 /// Steps that are kept for followers.
-const MOST_STEPS: usize = 1_024;
-const MOST_STEP_BYTES: usize = 1 << 20;
+const MAX_RECENT_ENTRIES: usize = 1_024;
+const MAX_RECENT_BYTES: usize = 1 << 20;
 /// Bytes of one answer.
-const ANSWER_BYTES: usize = 128 << 10;
+const MAX_ANSWER_BYTES: usize = 128 << 10;
 
 /// The newest steps, without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Recent {
-    steps: VecDeque<Step>,
+pub(crate) struct RecentLog {
+    steps: VecDeque<LogEntry>,
     bytes: usize,
 }
 
-impl Recent {
-    pub fn push(&mut self, step: Step) {
+impl RecentLog {
+    pub fn push(&mut self, step: LogEntry) {
         if self.steps.back().is_some_and(|last| last.result != step.base) {
             self.steps.clear();
             self.bytes = 0;
         }
         self.bytes += step.size();
         self.steps.push_back(step);
-        while self.steps.len() > MOST_STEPS || self.bytes > MOST_STEP_BYTES {
+        while self.steps.len() > MAX_RECENT_ENTRIES || self.bytes > MAX_RECENT_BYTES {
             let Some(oldest) = self.steps.pop_front() else { return };
             self.bytes -= oldest.size();
         }
     }
 
     /// The steps that lead from one version to another; none if they are not known.
-    fn path(&self, from: Version, to: Version) -> Option<Vec<Step>> {
+    fn path(&self, from: Version, to: Version) -> Option<Vec<LogEntry>> {
         let first = self.steps.iter().position(|step| step.base == from)?;
         let last = self.steps.iter().position(|step| step.result == to).filter(|last| *last >= first)?;
         Some(self.steps.range(first..=last).cloned().collect())
@@ -52,7 +52,7 @@
 
 /// What this machine is fetching.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Fetch {
+pub(crate) struct CatchUp {
     source: SocketAddr,
     /// Exactly this version; else whatever is committed.
     wanted: Option<Version>,
@@ -60,7 +60,7 @@
     hold: Option<(SocketAddr, u64, Ballot)>,
 }
 
-impl Fetch {
+impl CatchUp {
     pub fn is_for_ballot(&self) -> bool {
         self.hold.is_some()
     }
@@ -68,29 +68,29 @@
 
 /// What has come of a whole copy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct PartialCopy {
+pub(crate) struct PartialSnapshot {
     version: Version,
     bytes: Vec<u8>,
 }
 
 impl<S: Replicated> Replica<S> {
     /// Whether it follows the chain instead of being a part of it.
-    pub fn is_follower(&self) -> bool {
-        let in_chain = self.is_link() && self.is_level();
+    pub fn is_learner(&self) -> bool {
+        let in_chain = self.is_link() && self.is_caught_up();
         !in_chain && self.eligible && !(self.is_voter() && self.is_sealed())
     }
 
     /// Whether it waits for an answer to a question about what it lacks.
-    pub fn is_fetching(&self) -> bool {
-        self.fetch.is_some()
+    pub fn is_catching_up(&self) -> bool {
+        self.catch_up.is_some()
     }
 
     /// Asks again for what is being fetched, or, as a follower, asks `source` for what is committed.
-    pub fn follow(&mut self, source: SocketAddr) -> Outcome {
-        match &self.fetch {
+    pub fn request_catch_up(&mut self, source: SocketAddr) -> Effects {
+        match &self.catch_up {
             Some(fetch) if fetch.wanted.is_some() => self.ask_for_more(),
             Some(fetch) if fetch.source == source => self.ask_for_more(),
-            _ if self.is_follower() => self.fetch_from(source, None, None),
+            _ if self.is_learner() => self.fetch_from(source, None, None),
             _ => {}
         }
         self.finish()
@@ -107,21 +107,22 @@
         wanted: Option<Version>,
         hold: Option<(SocketAddr, u64, Ballot)>,
     ) {
-        if source == self.me.peer {
+        if source == self.own_member.peer {
             return;
         }
-        self.fetch = Some(Fetch { source, wanted, hold });
+        self.catch_up = Some(CatchUp { source, wanted, hold });
         self.ask_for_more();
     }
 
     fn ask_for_more(&mut self) {
-        let Some(fetch) = &self.fetch else { return };
-        let copying = self.copy.as_ref();
-        let follow = Message::Follow {
-            epoch: self.newest_view().epoch,
-            have: self.version,
-            copying: copying.map(|copy| Copying { version: copy.version, offset: copy.bytes.len() as u64 }),
-            wanted: fetch.wanted,
+        let Some(fetch) = &self.catch_up else { return };
+        let copying = self.partial_snapshot.as_ref();
+        let follow = Message::CatchUpRequest {
+            epoch: self.latest_view().epoch,
+            current: self.version,
+            snapshot_progress: copying
+                .map(|copy| SnapshotProgress { version: copy.version, offset: copy.bytes.len() as u64 }),
+            target: fetch.wanted,
             eligible: self.eligible,
         };
         let source = fetch.source;
@@ -133,7 +134,7 @@
         from: &Member,
         epoch: u64,
         have: Version,
-        copying: Option<Copying>,
+        copying: Option<SnapshotProgress>,
         wanted: Option<Version>,
     ) {
         self.tell_view_if_later(from, epoch);
@@ -142,16 +143,16 @@
             None if !self.is_link() => return,
             None if self.has(PlantedBug::FollowerGetsUncommitted) => self.version,
             // While a write is on its way only what is committed is given; it takes a moment.
-            None => match self.committed {
+            None => match self.committed_version {
                 Some(committed) if committed.epoch == self.view().epoch => committed,
                 _ => return,
             },
         };
         if have == target {
-            return self.send(from.peer, Message::Level { version: target });
+            return self.send(from.peer, Message::UpToDate { version: target });
         }
-        if let Some(steps) = self.recent.path(have, target) {
-            return self.send(from.peer, Message::Steps { steps: shortened(steps) });
+        if let Some(steps) = self.recent_log.path(have, target) {
+            return self.send(from.peer, Message::LogEntries { entries: shortened(steps) });
         }
         if let Some(piece) = self.piece(target, copying, wanted.is_some()) {
             self.send(from.peer, piece);
@@ -159,9 +160,14 @@
     }
 
     /// A piece of the copy that is being read, if steps lead on from it to the target; else of the present value.
-    fn piece(&mut self, target: Version, copying: Option<Copying>, exactly: bool) -> Option<Message> {
+    fn piece(
+        &mut self,
+        target: Version,
+        copying: Option<SnapshotProgress>,
+        exactly: bool,
+    ) -> Option<Message> {
         let usable = self.snapshot.as_ref().is_some_and(|snapshot| {
-            let leads_on = || self.recent.path(snapshot.version, target).is_some();
+            let leads_on = || self.recent_log.path(snapshot.version, target).is_some();
             snapshot.version == target || (!exactly && leads_on())
         });
         if !usable {
@@ -176,25 +182,25 @@
             _ => 0,
         };
         let rest = snapshot.bytes.get(offset..)?;
-        Some(Message::Piece {
+        Some(Message::SnapshotChunk {
             version: snapshot.version,
             total: snapshot.bytes.len() as u64,
             offset: offset as u64,
-            bytes: rest[..rest.len().min(ANSWER_BYTES)].to_vec(),
+            bytes: rest[..rest.len().min(MAX_ANSWER_BYTES)].to_vec(),
         })
     }
 
     pub(super) fn found_level(&mut self, version: Version) {
-        if self.version != version || self.fetch.as_ref().is_none_or(|fetch| fetch.wanted.is_some()) {
+        if self.version != version || self.catch_up.as_ref().is_none_or(|fetch| fetch.wanted.is_some()) {
             return;
         }
-        self.fetch = None;
-        if self.is_follower() {
-            self.committed = Some(version);
+        self.catch_up = None;
+        if self.is_learner() {
+            self.committed_version = Some(version);
         }
     }
 
-    pub(super) fn take_steps(&mut self, steps: Vec<Step>) {
+    pub(super) fn take_steps(&mut self, steps: Vec<LogEntry>) {
         if !self.may_take(steps.last().map(|last| last.result)) {
             return;
         }
@@ -213,14 +219,14 @@
     /// Whether a version that was fetched may replace the present one: it is just what is wanted, or it is later and
     /// this machine is one that follows.
     fn may_take(&self, version: Option<Version>) -> bool {
-        let (Some(fetch), Some(version)) = (&self.fetch, version) else { return false };
+        let (Some(fetch), Some(version)) = (&self.catch_up, version) else { return false };
         match fetch.wanted {
             // Going back is allowed in one step only, never by way of something still older.
             Some(wanted) if fetch.hold.is_some() => {
                 version == wanted || (self.version < version && version < wanted)
             }
             Some(wanted) => self.version < version && version <= wanted,
-            None => version > self.version && self.is_follower(),
+            None => version > self.version && self.is_learner(),
         }
     }
 
@@ -228,9 +234,9 @@
         if !self.may_take(Some(version)) {
             return;
         }
-        let copy = match &mut self.copy {
+        let copy = match &mut self.partial_snapshot {
             Some(copy) if copy.version == version => copy,
-            copy => copy.insert(PartialCopy { version, bytes: Vec::new() }),
+            copy => copy.insert(PartialSnapshot { version, bytes: Vec::new() }),
         };
         if copy.bytes.len() as u64 != offset {
             return;
@@ -239,9 +245,9 @@
         if (copy.bytes.len() as u64) < total {
             return self.ask_for_more();
         }
-        let whole = self.copy.take().and_then(|copy| S::decode(&copy.bytes));
+        let whole = self.partial_snapshot.take().and_then(|copy| S::decode(&copy.bytes));
         if let Some(value) = whole.filter(|value| value.digest() == version.digest) {
-            self.recent = Recent::default();
+            self.recent_log = RecentLog::default();
             self.put_version(version, Arc::new(value));
             self.fetched();
         }
@@ -249,16 +255,16 @@
 
     /// Something fetched has been taken: the one who asked for it is told, or the rest is asked for.
     fn fetched(&mut self) {
-        self.committed = None;
-        let Some(fetch) = &self.fetch else { return };
+        self.committed_version = None;
+        let Some(fetch) = &self.catch_up else { return };
         if fetch.wanted != Some(self.version) {
             return self.ask_for_more();
         }
         let hold = fetch.hold.clone();
-        self.fetch = None;
+        self.catch_up = None;
         match hold {
             Some((proposer, epoch, ballot)) => {
-                self.send(proposer, Message::Holding { epoch, ballot, version: self.version });
+                self.send(proposer, Message::Persisted { epoch, ballot, version: self.version });
             }
             // The predecessor has this version, too: it has said so.
             None if self.may_append() => self.pass_on(None),
@@ -268,11 +274,11 @@
 }
 
 /// As many of the first steps as fit into an answer; at least one.
-fn shortened(mut steps: Vec<Step>) -> Vec<Step> {
+fn shortened(mut steps: Vec<LogEntry>) -> Vec<LogEntry> {
     let mut bytes = 0;
     let fitting = steps.iter().take_while(|step| {
         bytes += step.size();
-        bytes <= ANSWER_BYTES
+        bytes <= MAX_ANSWER_BYTES
     });
     let fitting = fitting.count().max(1);
     steps.truncate(fitting);
--- a/crates/coordination/src/stores.rs
+++ b/crates/coordination/src/stores.rs
@@ -10,7 +10,7 @@
 use crate::Member;
 
 /// Groups that all data is divided into.
-pub const GROUPS: u16 = 64;
+pub const GROUP_COUNT: u16 = 64;
 
 /// A group's number, below [`GROUPS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,11 +19,11 @@
 impl GroupNumber {
     /// The group of a hashed key.
     pub fn of(hash: u64) -> Self {
-        Self((hash % u64::from(GROUPS)) as u16)
+        Self((hash % u64::from(GROUP_COUNT)) as u16)
     }
 
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..GROUPS).map(Self)
+        (0..GROUP_COUNT).map(Self)
     }
 }
 
@@ -42,10 +42,10 @@
 
 /// A store that is given a part in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Newcomer {
+pub struct Assignment {
     pub store: StoreNumber,
     /// The first view in which it has that part: what it told of earlier ones does not count.
-    pub since: u64,
+    pub since_epoch: u64,
 }
 
 /// Where a group is held.
@@ -57,21 +57,21 @@
     /// predecessor stands in that view or a later one still has nothing that the links before it lack.
     pub unchanged_since: Vec<u64>,
     /// Links that have not told yet that they have everything.
-    pub joining: Vec<Newcomer>,
+    pub joining: Vec<Assignment>,
     /// Silent holders, while the chain has too few.
     pub absent: Vec<StoreNumber>,
     /// Copies the group before it joins the chain's end.
-    pub learner: Option<Newcomer>,
+    pub learner: Option<Assignment>,
     /// The view in which the group was begun anew, with nothing of what it held before; 0 where it never was.
-    pub begun_in: u64,
+    pub incarnation: u64,
     /// Batch jobs that were given up then, as far as their names are known.
-    pub given_up: Vec<String>,
+    pub given_up_jobs: Vec<String>,
 }
 
 impl Group {
     /// Since which view a store is a link that has still to tell that it has everything; none if it is not such a link.
     pub fn joining_since(&self, store: StoreNumber) -> Option<u64> {
-        self.joining.iter().find(|newcomer| newcomer.store == store).map(|newcomer| newcomer.since)
+        self.joining.iter().find(|newcomer| newcomer.store == store).map(|newcomer| newcomer.since_epoch)
     }
 
     /// The view since which the chain up to a link is as it is.
@@ -81,18 +81,18 @@
     }
 
     /// The group as it was before, with another chain in the view of `epoch`.
-    pub(crate) fn date_links(&mut self, before: &Self, epoch: u64) {
+    pub(crate) fn update_unchanged_since(&mut self, before: &Self, epoch: u64) {
         let same = self.chain.iter().zip(&before.chain).take_while(|(is, was)| is == was).count();
         self.unchanged_since = before.unchanged_since.iter().copied().take(same).collect();
         self.unchanged_since.resize(self.chain.len(), epoch);
     }
 
     /// Whether the group differs in more than in who is joining: all others have to know then.
-    pub(crate) fn differs_for_others(&self, before: &Self) -> bool {
+    pub(crate) fn differs_for_stores(&self, before: &Self) -> bool {
         self.chain != before.chain
             || self.absent != before.absent
             || self.learner != before.learner
-            || self.begun_in != before.begun_in
+            || self.incarnation != before.incarnation
     }
 
     /// Whether enough links hold the group for it to be changed and read.
@@ -112,7 +112,7 @@
     }
 
     /// Whether a store has any part of the group that must not be lost.
-    pub fn names(&self, store: StoreNumber) -> bool {
+    pub fn may_hold_data(&self, store: StoreNumber) -> bool {
         self.chain.contains(&store) || self.absent.contains(&store)
     }
 }
@@ -157,6 +157,6 @@
 
     /// Whether the store holds a part of any group.
     pub fn holds_data(&self, number: StoreNumber) -> bool {
-        self.groups.iter().any(|group| group.names(number))
+        self.groups.iter().any(|group| group.may_hold_data(number))
     }
 }
--- a/crates/coordination/src/version.rs
+++ b/crates/coordination/src/version.rs
@@ -21,7 +21,7 @@
     }
 
     /// The same content as a version of another view.
-    pub fn in_epoch(self, epoch: u64) -> Self {
+    pub fn with_epoch(self, epoch: u64) -> Self {
         Self { epoch, ..self }
     }
 }
@@ -49,7 +49,7 @@
 
 /// One step from a version to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Step {
+pub struct LogEntry {
     pub base: Version,
     /// None where only the view changed.
     #[serde(with = "serde_bytes")]
@@ -57,7 +57,7 @@
     pub result: Version,
 }
 
-impl Step {
+impl LogEntry {
     pub fn size(&self) -> usize {
         self.change.as_ref().map_or(0, Vec::len)
     }
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -21,7 +21,7 @@
 
 impl View {
     /// The voters on the very first view: the seeds, known by address only.
-    pub fn of_seeds(peers: &[std::net::SocketAddr], start: Version) -> Self {
+    pub fn from_seeds(peers: &[std::net::SocketAddr], start: Version) -> Self {
         let seed = |peer: &std::net::SocketAddr| Member {
             identity: Identity { node: String::new(), disk: 0 },
             peer: *peer,
@@ -45,7 +45,7 @@
     }
 
     /// The place of a voter; before the first view voters are known by address only.
-    pub fn seat(&self, member: &Member) -> Option<usize> {
+    pub fn voter_index(&self, member: &Member) -> Option<usize> {
         self.voters.iter().position(|voter| match self.epoch {
             0 => voter.peer == member.peer,
             _ => voter.identity == member.identity,
@@ -53,17 +53,17 @@
     }
 
     /// The place of a link of the chain.
-    pub fn link(&self, identity: &Identity) -> Option<usize> {
+    pub fn chain_index(&self, identity: &Identity) -> Option<usize> {
         self.chain.iter().position(|link| link.identity == *identity)
     }
 
     pub fn successor(&self, identity: &Identity) -> Option<&Member> {
-        self.chain.get(self.link(identity)? + 1)
+        self.chain.get(self.chain_index(identity)? + 1)
     }
 
     /// Voters in the order in which they take over: the chain's links first.
-    pub fn succession(&self) -> impl Iterator<Item = &Member> {
-        let others = self.voters.iter().filter(|voter| self.link(&voter.identity).is_none());
+    pub fn takeover_order(&self) -> impl Iterator<Item = &Member> {
+        let others = self.voters.iter().filter(|voter| self.chain_index(&voter.identity).is_none());
         self.chain.iter().chain(others)
     }
 }
@@ -72,48 +72,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ViewRules {
     /// Losses of disks at once that must be outlived.
-    pub losses: usize,
+    pub max_failures: usize,
 }
 
 impl ViewRules {
-    pub fn for_losses(losses: usize) -> Self {
-        Self { losses }
+    pub fn tolerating(losses: usize) -> Self {
+        Self { max_failures: losses }
     }
 
     /// Voters that a view should have.
-    pub fn voters(&self) -> usize {
-        (2 * self.losses + 1).max(3)
+    pub fn voter_count(&self) -> usize {
+        (2 * self.max_failures + 1).max(3)
     }
 
     /// Links without which a chain takes no writes: more than may be lost, and enough to meet every majority of the voters.
-    pub fn fewest_links(&self, voters: usize) -> usize {
-        (self.losses + 1).max(voters - voters / 2)
+    pub fn min_chain_length(&self, voters: usize) -> usize {
+        (self.max_failures + 1).max(voters - voters / 2)
     }
 }
 
 /// What is known of the machines when the next view is worked out.
-pub struct Judgement<'a> {
+pub struct ClusterStatus<'a> {
     /// Answered lately.
-    pub alive: &'a dyn Fn(&Member) -> bool,
+    pub is_alive: &'a dyn Fn(&Member) -> bool,
     /// Has been silent for so long that another may take its place.
-    pub lost: &'a dyn Fn(&Member) -> bool,
+    pub is_lost: &'a dyn Fn(&Member) -> bool,
     /// Has all but the newest changes.
-    pub level: &'a dyn Fn(&Member) -> bool,
+    pub is_caught_up: &'a dyn Fn(&Member) -> bool,
     /// Machines that are no voters, alive and level.
     pub joiners: &'a [Member],
 }
 
 /// The view that should follow, if not the present one. At most one voter changes: one whose disk was lost or that is lost gives its
 /// place to a machine that is level. The chain is the voters that are alive and level, in their present order, new ones at the end.
-pub fn next_view(view: &View, judged: &Judgement, rules: ViewRules) -> Option<View> {
+pub fn next_view(view: &View, judged: &ClusterStatus, rules: ViewRules) -> Option<View> {
     let voters = next_voters(view, judged, rules);
     let chain = next_chain(view, &voters, judged, rules);
     let changed = voters != view.voters || chain != view.chain;
-    let enough = chain.len() >= rules.fewest_links(voters.len());
+    let enough = chain.len() >= rules.min_chain_length(voters.len());
     (changed && enough).then(|| View { epoch: view.epoch + 1, voters, chain, start: Version::default() })
 }
 
-fn next_voters(view: &View, judged: &Judgement, rules: ViewRules) -> Vec<Member> {
+fn next_voters(view: &View, judged: &ClusterStatus, rules: ViewRules) -> Vec<Member> {
     let mut voters = view.voters.clone();
     let joiners = |voters: &[Member]| -> Vec<Member> {
         let mut joiners: Vec<Member> =
@@ -134,24 +134,24 @@
         return voters;
     }
     let Some(joiner) = free.first() else { return voters };
-    if voters.len() < rules.voters() {
+    if voters.len() < rules.voter_count() {
         voters.push(joiner.clone());
-    } else if let Some(seat) = voters.iter().position(|voter| (judged.lost)(voter)) {
+    } else if let Some(seat) = voters.iter().position(|voter| (judged.is_lost)(voter)) {
         voters[seat] = joiner.clone();
     }
     voters
 }
 
-fn next_chain(view: &View, voters: &[Member], judged: &Judgement, rules: ViewRules) -> Vec<Member> {
-    let fewest = rules.fewest_links(voters.len());
-    let stays = |link: &&Member| voters.contains(link) && (judged.alive)(link);
+fn next_chain(view: &View, voters: &[Member], judged: &ClusterStatus, rules: ViewRules) -> Vec<Member> {
+    let fewest = rules.min_chain_length(voters.len());
+    let stays = |link: &&Member| voters.contains(link) && (judged.is_alive)(link);
     let mut chain: Vec<Member> = view.chain.iter().filter(stays).cloned().collect();
-    let alive = |voter: &&Member| (judged.alive)(voter) || judged.joiners.contains(voter);
+    let alive = |voter: &&Member| (judged.is_alive)(voter) || judged.joiners.contains(voter);
     let mut others: Vec<&Member> =
         voters.iter().filter(|voter| !view.chain.contains(voter)).filter(alive).collect();
-    others.sort_by_key(|voter| !((judged.level)(voter) || judged.joiners.contains(voter)));
+    others.sort_by_key(|voter| !((judged.is_caught_up)(voter) || judged.joiners.contains(voter)));
     for voter in others {
-        let level = (judged.level)(voter) || judged.joiners.contains(voter);
+        let level = (judged.is_caught_up)(voter) || judged.joiners.contains(voter);
         // One that is not level holds writes up until it is; it is taken only where there would be too few links.
         if level || chain.len() < fewest {
             chain.push(voter.clone());
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use fennelgauge_coordination::{
-    Acceptor, Identity, Member, Message, NotTaken, Outcome, Record, Replica, Replicated, Stored, Version,
-    View, ViewRules,
+    Acceptor, DurableState, Effects, Identity, Member, Message, Replica, Replicated, Version, View,
+    ViewRules, VotingRecord, WriteRefusal,
 };
 
 /// A value that changes are added to.
@@ -53,7 +53,7 @@
 /// A machine with what is on its disk.
 pub struct Machine {
     pub replica: Replica<Text>,
-    pub disk: Stored<Text>,
+    pub disk: DurableState<Text>,
 }
 
 /// Machines with numbers from 1 on.
@@ -67,10 +67,10 @@
     /// All of them in a view, at the same version.
     pub fn in_view(count: u8, losses: usize, view: &View, text: &str) -> Self {
         let machines = (1..=count).map(|number| {
-            let stored = Stored {
-                record: Record { acceptor: Acceptor::new(view.clone()), held: None },
+            let stored = DurableState {
+                record: VotingRecord { acceptor: Acceptor::new(view.clone()), persist_request: None },
                 version: Version { digest: Text(text.to_owned()).digest(), ..view.start }
-                    .in_epoch(view.epoch),
+                    .with_epoch(view.epoch),
                 value: Arc::new(Text(text.to_owned())),
             };
             machine(member(number, 1), losses, stored)
@@ -80,7 +80,7 @@
 
     /// A further machine with an empty disk.
     pub fn add_empty(&mut self, member: Member) -> usize {
-        self.machines.push(machine(member, self.losses, Stored::first(&[])));
+        self.machines.push(machine(member, self.losses, DurableState::empty(&[])));
         self.machines.len() - 1
     }
 
@@ -91,23 +91,23 @@
     /// The process ends and starts again from its disk.
     pub fn restart(&mut self, number: usize) {
         let Machine { replica, disk } = &self.machines[number - 1];
-        let again = machine(replica.me().clone(), self.losses, disk.clone());
+        let again = machine(replica.own_member().clone(), self.losses, disk.clone());
         self.machines[number - 1] = again;
     }
 
-    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Replica<Text>) -> Outcome) {
+    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Replica<Text>) -> Effects) {
         let outcome = act(&mut self.machines[number - 1].replica);
         self.perform(number - 1, outcome);
     }
 
-    pub fn write(&mut self, number: usize, change: &str) -> Result<Version, NotTaken> {
+    pub fn write(&mut self, number: usize, change: &str) -> Result<Version, WriteRefusal> {
         let written = self.machines[number - 1].replica.write(change.as_bytes().to_vec());
         let (version, outcome) = written?;
         self.perform(number - 1, outcome);
         Ok(version)
     }
 
-    fn perform(&mut self, at: usize, outcome: Outcome) {
+    fn perform(&mut self, at: usize, outcome: Effects) {
         let machine = &mut self.machines[at];
         if outcome.write_record {
             machine.disk.record = machine.replica.record().clone();
@@ -123,11 +123,13 @@
     pub fn settle(&mut self, passes: impl Fn(usize, usize, &Message) -> bool) {
         for _ in 0..10_000 {
             let Some((from, to, message)) = self.on_the_way.pop_front() else { return };
-            let Some(to) = self.machines.iter().position(|it| it.replica.me().peer == to) else { continue };
+            let Some(to) = self.machines.iter().position(|it| it.replica.own_member().peer == to) else {
+                continue;
+            };
             if !passes(from + 1, to + 1, &message) {
                 continue;
             }
-            let sender = self.machines[from].replica.me().clone();
+            let sender = self.machines[from].replica.own_member().clone();
             let outcome = self.machines[to].replica.handle(&sender, message);
             self.perform(to, outcome);
         }
@@ -148,9 +150,9 @@
     }
 }
 
-fn machine(me: Member, losses: usize, stored: Stored<Text>) -> Machine {
+fn machine(me: Member, losses: usize, stored: DurableState<Text>) -> Machine {
     let disk = stored.clone();
-    Machine { replica: Replica::new(me, true, ViewRules::for_losses(losses), stored), disk }
+    Machine { replica: Replica::new(me, true, ViewRules::tolerating(losses), stored), disk }
 }
 
 /// Lets nothing pass to or from some machines.
--- a/crates/coordination/tests/sampling.rs
+++ b/crates/coordination/tests/sampling.rs
@@ -30,17 +30,17 @@
     let mut views: Vec<PartialView> =
         (0..count).map(|number| PartialView::new(peer(number, zones), 24, 6)).collect();
     for (number, view) in views.iter_mut().enumerate() {
-        view.meet(peer((number + 1) % count, zones));
+        view.add_peer(peer((number + 1) % count, zones));
     }
     for round in 0..rounds {
         for number in (0..count).filter(|number| !gone(round, *number)).collect::<Vec<_>>() {
-            let Some(swap) = views[number].begin(&mut draw) else { continue };
-            let with: usize = swap.with.node[1..].parse().unwrap();
+            let Some(swap) = views[number].begin_shuffle(&mut draw) else { continue };
+            let with: usize = swap.target.node[1..].parse().unwrap();
             if gone(round, with) {
                 continue;
             }
-            let received = views[with].answer(swap.offer.clone(), &mut draw);
-            views[number].finish(swap, received);
+            let received = views[with].answer_shuffle(swap.offer.clone(), &mut draw);
+            views[number].finish_shuffle(swap, received);
         }
     }
     views
--- a/crates/coordination/tests/stores.rs
+++ b/crates/coordination/tests/stores.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Identity, Member, Planner, StoreNumber, StoreView, Told};
+use fennelgauge_coordination::{
+    GroupConfirmation, GroupNumber, Identity, Member, Planner, StoreNumber, StoreReport, StoreView,
+};
 
 fn member(node: &str, disk: u64, zone: &str) -> Member {
     let port = 1_000 + node.bytes().map(u16::from).sum::<u16>();
@@ -20,8 +22,8 @@
     everybody: Vec<Member>,
     present: Vec<Member>,
     /// What stores have told of their groups, with the view of it.
-    copied: BTreeSet<(StoreNumber, Told)>,
-    holds: BTreeSet<(StoreNumber, Told)>,
+    copied: BTreeSet<(StoreNumber, GroupConfirmation)>,
+    holds: BTreeSet<(StoreNumber, GroupConfirmation)>,
     losses: usize,
 }
 
@@ -42,7 +44,7 @@
     }
 
     fn plan(&mut self) -> bool {
-        let heard: Vec<Heard> = self.present.iter().map(|member| self.heard(member)).collect();
+        let heard: Vec<StoreReport> = self.present.iter().map(|member| self.heard(member)).collect();
         match Planner::new(self.losses, &heard, true).plan(&self.view) {
             Some(next) => {
                 assert!(next.epoch == self.view.epoch || next.epoch == self.view.epoch + 1);
@@ -53,12 +55,16 @@
         }
     }
 
-    fn heard(&self, member: &Member) -> Heard {
+    fn heard(&self, member: &Member) -> StoreReport {
         let number = self.view.stores.iter().find(|store| store.member == *member).map(|store| store.number);
-        let of_store = |told: &BTreeSet<(StoreNumber, Told)>| {
+        let of_store = |told: &BTreeSet<(StoreNumber, GroupConfirmation)>| {
             told.iter().filter(|(store, _)| Some(*store) == number).map(|(_, told)| *told).collect()
         };
-        Heard { member: member.clone(), copied: of_store(&self.copied), holds: of_store(&self.holds) }
+        StoreReport {
+            member: member.clone(),
+            copied_groups: of_store(&self.copied),
+            held_groups: of_store(&self.holds),
+        }
     }
 
     /// Learners have copied their groups, and joining links have everything, as of now.
@@ -67,7 +73,7 @@
         self.copied.clear();
         self.holds.clear();
         for (number, group) in self.view.groups.iter().enumerate() {
-            let told = Told { group: GroupNumber(number as u16), epoch };
+            let told = GroupConfirmation { group: GroupNumber(number as u16), epoch };
             self.copied.extend(group.learner.map(|learner| (learner.store, told)));
             self.holds.extend(group.joining.iter().map(|newcomer| (newcomer.store, told)));
         }
--- a/crates/coordination/tests/view.rs
+++ b/crates/coordination/tests/view.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fennelgauge_coordination::{
-    next_view, Acceptor, Ballot, Identity, Judgement, Member, Version, View, ViewRules,
+    next_view, Acceptor, Ballot, ClusterStatus, Identity, Member, Version, View, ViewRules,
 };
 
 fn member(node: &str, disk: u64) -> Member {
@@ -128,14 +128,14 @@
         };
         let (down, lost, behind) = (members(case.down), members(case.lost), members(case.behind));
         let joiners = members(case.joiners);
-        let judged = Judgement {
-            alive: &|member| !down.contains(member),
-            lost: &|member| lost.contains(member),
-            level: &|member| !behind.contains(member),
+        let judged = ClusterStatus {
+            is_alive: &|member| !down.contains(member),
+            is_lost: &|member| lost.contains(member),
+            is_caught_up: &|member| !behind.contains(member),
             joiners: &joiners,
         };
         let losses = view.voters.len().max(3) / 2;
-        let next = next_view(&view, &judged, ViewRules::for_losses(losses));
+        let next = next_view(&view, &judged, ViewRules::tolerating(losses));
         let next = next.map(|view| (names(&view.voters), names(&view.chain)));
         let expected = case.next.map(|(voters, chain)| (voters.to_owned(), chain.to_owned()));
         assert_eq!(next, expected, "{}", case.what);
@@ -145,9 +145,9 @@
 #[test]
 fn every_chain_meets_every_majority() {
     for losses in 0..4 {
-        let rules = ViewRules::for_losses(losses);
-        for voters in 1..=rules.voters() {
-            let links = rules.fewest_links(voters);
+        let rules = ViewRules::tolerating(losses);
+        for voters in 1..=rules.voter_count() {
+            let links = rules.min_chain_length(voters);
             let majority = voters / 2 + 1;
             assert!(links + majority > voters, "{voters} voters, {links} links");
             assert!(links > losses, "a chain of {links} does not outlive {losses} losses");
@@ -161,9 +161,9 @@
     let view =
         |epoch| View { epoch, voters: members("a b c"), chain: members("a b"), start: Version::default() };
     let mut acceptor = Acceptor::new(view(4));
-    assert!(!acceptor.sealed());
+    assert!(!acceptor.is_sealed());
     assert_eq!(acceptor.prepare(&ballot(2, "b")), Ok(()));
-    assert!(acceptor.sealed());
+    assert!(acceptor.is_sealed());
     assert_eq!(acceptor.prepare(&ballot(1, "c")), Err(ballot(2, "b")));
     assert_eq!(acceptor.accept(&ballot(1, "c"), &view(5)), Err(ballot(2, "b")));
     assert_eq!(acceptor.accept(&ballot(2, "b"), &view(5)), Ok(()));
@@ -175,6 +175,6 @@
 #[test]
 fn seeds_need_two_of_three_for_a_first_view() {
     let peers: Vec<SocketAddr> = (1..=3).map(|last| SocketAddr::from(([10, 0, 0, last], 7360))).collect();
-    assert_eq!(View::of_seeds(&peers, Version::default()).majority(), 2);
-    assert_eq!(View::of_seeds(&peers[..1], Version::default()).majority(), 1);
+    assert_eq!(View::from_seeds(&peers, Version::default()).majority(), 2);
+    assert_eq!(View::from_seeds(&peers[..1], Version::default()).majority(), 1);
 }
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -31,8 +31,8 @@
         let place = held.chain.iter().position(|link| *link == store)?;
         Some(Self {
             epoch: view.epoch,
-            begun_in: held.begun_in,
-            given_up: held.given_up.clone(),
+            begun_in: held.incarnation,
+            given_up: held.given_up_jobs.clone(),
             level_since: held.unchanged_since(store)?,
             successor_level_since: held.unchanged_since.get(place + 1).copied(),
             is_open: held.is_open(),
--- a/crates/replication/tests/decisions.rs
+++ b/crates/replication/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fennelgauge_batch::{Command, Item, ItemOutcome, ItemResult, Job};
-use fennelgauge_coordination::{Group, GroupNumber, StoreNumber, StoreView, GROUPS};
+use fennelgauge_coordination::{Group, GroupNumber, StoreNumber, StoreView, GROUP_COUNT};
 use fennelgauge_replication::{
     Care, Ending, Entry, EntryBatch, EntryPosition, Fate, Installed, Missing, Onward, Query, ReadStep,
     Reading, Repair, RepairStep, Replica, Role, Submission, CONFIRM_WITHIN, JOINS_WITHIN,
@@ -35,12 +35,12 @@
         chain: numbers(chain),
         absent: numbers(absent),
         unchanged_since: vec![epoch; chain.len()],
-        begun_in,
+        incarnation: begun_in,
         ..Group::default()
     };
     let mut view = StoreView::default();
     view.epoch = epoch;
-    view.groups = vec![group; usize::from(GROUPS)];
+    view.groups = vec![group; usize::from(GROUP_COUNT)];
     view
 }
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,7 +1,7 @@
 //! The rules of one group on one store: what is taken, what a copy replaces, who is level, who may answer.
 
 use fennelgauge_batch::{Command, Item, Job};
-use fennelgauge_coordination::{Group, GroupNumber, Newcomer, StoreNumber, StoreView, GROUPS};
+use fennelgauge_coordination::{Assignment, Group, GroupNumber, StoreNumber, StoreView, GROUP_COUNT};
 use fennelgauge_replication::{
     Confirmation, Entry, EntryBatch, EntryPosition, Installed, Missing, Outcome, Replica, Role,
 };
@@ -196,7 +196,7 @@
 
 fn view(epoch: u64, chain: &[u32], joining: &[u32], absent: &[u32]) -> StoreView {
     let numbers = |stores: &[u32]| stores.iter().map(|store| StoreNumber(*store)).collect();
-    let newcomer = |store: &u32| Newcomer { store: StoreNumber(*store), since: epoch };
+    let newcomer = |store: &u32| Assignment { store: StoreNumber(*store), since_epoch: epoch };
     let group = Group {
         chain: numbers(chain),
         joining: joining.iter().map(newcomer).collect(),
@@ -207,7 +207,7 @@
     };
     let mut view = StoreView::default();
     view.epoch = epoch;
-    view.groups = vec![group; usize::from(GROUPS)];
+    view.groups = vec![group; usize::from(GROUP_COUNT)];
     view
 }
 
--- a/crates/simulation/src/exhaustive.rs
+++ b/crates/simulation/src/exhaustive.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 use fennelgauge_coordination::{
-    Acceptor, Identity, Member, Message, Outcome, PlantedBug, Record, Replica, Replicated, Stored, Version,
-    View, ViewRules,
+    Acceptor, DurableState, Effects, Identity, Member, Message, PlantedBug, Replica, Replicated, Version,
+    View, ViewRules, VotingRecord,
 };
 use stateright::{Checker, Model, Property};
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Machine {
     replica: Replica<Letters>,
-    record: Record,
+    record: VotingRecord,
     version: Version,
     value: Arc<Letters>,
 }
@@ -149,9 +149,9 @@
         Searched { states: checker.unique_state_count(), depth: checker.max_depth(), broken }
     }
 
-    fn machine(&self, number: usize, disk: u64, stored: Stored<Letters>) -> Arc<Machine> {
-        let Stored { record, version, value } = stored.clone();
-        let mut replica = Replica::new(member(number, disk), true, ViewRules::for_losses(1), stored);
+    fn machine(&self, number: usize, disk: u64, stored: DurableState<Letters>) -> Arc<Machine> {
+        let DurableState { record, version, value } = stored.clone();
+        let mut replica = Replica::new(member(number, disk), true, ViewRules::tolerating(1), stored);
         if let Some(bug) = self.planted {
             replica.plant(bug);
         }
@@ -166,14 +166,14 @@
             chain: chain.iter().map(|number| member(*number, 1)).collect(),
             start: Version::initial::<Letters>(),
         };
-        let in_view = Stored {
-            record: Record { acceptor: Acceptor::new(view.clone()), held: None },
-            version: view.start.in_epoch(1),
+        let in_view = DurableState {
+            record: VotingRecord { acceptor: Acceptor::new(view.clone()), persist_request: None },
+            version: view.start.with_epoch(1),
             value: Arc::default(),
         };
         let mut machines: Vec<Arc<Machine>> =
             (0..VOTERS).map(|number| self.machine(number, 1, in_view.clone())).collect();
-        machines.push(self.machine(VOTERS, 1, Stored::first(&[])));
+        machines.push(self.machine(VOTERS, 1, DurableState::empty(&[])));
         let mut world = World {
             machines,
             on_the_way: BTreeSet::new(),
@@ -186,9 +186,9 @@
             broken: None,
             events: 0,
         };
-        let install = Message::Install { view };
+        let install = Message::InstallView { view };
         world.act(MACHINES - 1, |learner| learner.handle(&member(0, 1), install));
-        world.act(chain[0], |head| head.settle());
+        world.act(chain[0], |head| head.resend_uncommitted());
         world.deliver_all(|_| true);
         world
     }
@@ -229,10 +229,10 @@
             self.begun(&[0, 1, 2]),
             in_flight,
             behind,
-            self.amid_a_change(|message| matches!(message, Message::Hold { .. })),
+            self.amid_a_change(|message| matches!(message, Message::Persist { .. })),
             self.amid_a_change(|message| matches!(message, Message::Accept { .. })),
             self.amid_a_change(|message| matches!(message, Message::Accepted { .. })),
-            self.amid_a_change(|message| matches!(message, Message::Install { .. })),
+            self.amid_a_change(|message| matches!(message, Message::InstallView { .. })),
             self.duel(),
         ]
     }
@@ -283,21 +283,21 @@
                 world.proposals += 1;
                 world.propose(proposer, without, instead);
             }
-            Event::GoOn(machine) => world.act(machine, |replica| replica.go_on_with_holders()),
+            Event::GoOn(machine) => world.act(machine, |replica| replica.proceed_with_persisted()),
             Event::Restart(machine) => {
                 world.restarts += 1;
                 let Machine { replica, record, version, value } = world.machines[machine].as_ref();
-                let stored = Stored { record: record.clone(), version: *version, value: value.clone() };
-                let disk = replica.me().identity.disk;
+                let stored = DurableState { record: record.clone(), version: *version, value: value.clone() };
+                let disk = replica.own_member().identity.disk;
                 world.machines[machine] = self.machine(machine, disk, stored);
             }
             Event::LoseDisk(machine) => {
                 world.disks_lost += 1;
-                world.machines[machine] = self.machine(machine, 2, Stored::first(&[]));
+                world.machines[machine] = self.machine(machine, 2, DurableState::empty(&[]));
             }
             Event::Follow => {
                 let head = world.head().unwrap_or(0);
-                world.act(MACHINES - 1, |learner| learner.follow(Network::address(head)));
+                world.act(MACHINES - 1, |learner| learner.request_catch_up(Network::address(head)));
             }
         }
         let has_changed = world != *before;
@@ -317,11 +317,11 @@
 
 impl World {
     fn head(&self) -> Option<usize> {
-        let heads = (0..MACHINES).filter(|number| self.machines[*number].replica.takes_writes().is_ok());
+        let heads = (0..MACHINES).filter(|number| self.machines[*number].replica.check_writable().is_ok());
         heads.max_by_key(|number| self.machines[*number].replica.view().epoch)
     }
 
-    fn act(&mut self, number: usize, act: impl FnOnce(&mut Replica<Letters>) -> Outcome) {
+    fn act(&mut self, number: usize, act: impl FnOnce(&mut Replica<Letters>) -> Effects) {
         let outcome = act(&mut Arc::make_mut(&mut self.machines[number]).replica);
         self.perform(number, outcome);
     }
@@ -347,7 +347,7 @@
         let mut voters = view.voters.clone();
         let mut chain: Vec<Member> = view.voters.iter().filter(stays).cloned().collect();
         if let Some(instead) = instead {
-            let new = self.machines[instead].replica.me().clone();
+            let new = self.machines[instead].replica.own_member().clone();
             if voters.contains(&new) {
                 return;
             }
@@ -359,7 +359,7 @@
         self.act(proposer, |replica| replica.propose(wished));
     }
 
-    fn perform(&mut self, number: usize, outcome: Outcome) {
+    fn perform(&mut self, number: usize, outcome: Effects) {
         let machine = Arc::make_mut(&mut self.machines[number]);
         if outcome.write_record {
             machine.record = machine.replica.record().clone();
@@ -379,7 +379,7 @@
 
     fn deliver(&mut self, sent: Sent) {
         let to = Network::machine(sent.to);
-        let from = self.machines[sent.from].replica.me().clone();
+        let from = self.machines[sent.from].replica.own_member().clone();
         if to < MACHINES {
             self.act(to, |replica| replica.handle(&from, sent.message.as_ref().clone()));
         }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    Coordinator, Identity, Member, Message, Outcome, Progress, Question, Record, Replica, Stored, Timing,
-    Version, ViewRules,
+    Coordinator, DurableState, Effects, Identity, Member, Message, Progress, QuorumCheck, Replica, Timing,
+    Version, ViewRules, VotingRecord,
 };
 
 use crate::chance::Chance;
@@ -55,8 +55,8 @@
 enum Waiting {
     Turn(Order),
     Write(Version),
-    Refusal(Question),
-    Read(Question),
+    Refusal(QuorumCheck),
+    Read(QuorumCheck),
 }
 
 struct Open {
@@ -67,7 +67,7 @@
 
 struct Writing {
     value: Option<(Version, Arc<Ledger>)>,
-    record: Option<Record>,
+    record: Option<VotingRecord>,
     sends: Vec<(SocketAddr, Message)>,
 }
 
@@ -84,9 +84,9 @@
 pub struct Machine {
     number: usize,
     pub identity: Identity,
-    stored: Stored<Ledger>,
+    stored: DurableState<Ledger>,
     /// What was there before the newest writes.
-    older: Stored<Ledger>,
+    older: DurableState<Ledger>,
     pub process: Option<Process>,
     pub life: u64,
     pub gone: bool,
@@ -106,7 +106,7 @@
         rules: ViewRules,
         plant: Option<Plant>,
     ) -> Self {
-        let stored = Stored::first(if bootstrap { seeds } else { &[] });
+        let stored = DurableState::empty(if bootstrap { seeds } else { &[] });
         let identity = Identity { node: format!("machine-{number}"), disk: 1 };
         Self {
             number,
@@ -162,7 +162,7 @@
         });
     }
 
-    fn read_disk(&self) -> Stored<Ledger> {
+    fn read_disk(&self) -> DurableState<Ledger> {
         let mut stored = self.stored.clone();
         if self.plant == Some(Plant::OldRecordIsRead) {
             stored.record = self.older.record.clone();
@@ -200,7 +200,7 @@
 
     /// The disk is lost.
     pub fn wipe(&mut self) {
-        self.stored = Stored::first(&[]);
+        self.stored = DurableState::empty(&[]);
         self.older = self.stored.clone();
         if self.plant != Some(Plant::WipedKeepsIdentity) {
             self.identity.disk += 1;
@@ -216,7 +216,7 @@
         self.frozen_until = 0;
     }
 
-    fn put(&mut self, value: Option<(Version, Arc<Ledger>)>, record: Option<Record>) {
+    fn put(&mut self, value: Option<(Version, Arc<Ledger>)>, record: Option<VotingRecord>) {
         if value.is_some() || record.is_some() {
             self.older = self.stored.clone();
         }
@@ -311,7 +311,7 @@
     }
 
     /// What is to be written and sent; several outcomes of one input are joined.
-    fn perform(&mut self, outcome: Outcome) {
+    fn perform(&mut self, outcome: Effects) {
         let replica = self.coordinator.replica();
         let value = outcome.write_value.then(|| (replica.version(), replica.value().clone()));
         let record = outcome.write_record.then(|| replica.record().clone());
@@ -327,18 +327,18 @@
 
     fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Leaving>) {
         let replica = self.coordinator.replica();
-        let view = replica.newest_view();
+        let view = replica.latest_view();
         let (wanted, waiting) = match call.ask {
             Ask::Order(order) => (view.head(), Waiting::Turn(order)),
             Ask::Read => (view.tail(), Waiting::Turn(Order { base: 0, generation: 0, content: 0 })),
         };
         let Some(wanted) = wanted else { return out.push(Leaving::Answer(call, Answer::Unsure)) };
-        if wanted.identity != replica.me().identity {
+        if wanted.identity != replica.own_member().identity {
             return out.push(Leaving::Forward(wanted.peer, call));
         }
         let waiting = match call.ask {
             Ask::Read => {
-                let (question, outcome) = self.coordinator.ask_majority(time(now));
+                let (question, outcome) = self.coordinator.start_quorum_check(time(now));
                 self.perform(outcome);
                 Waiting::Read(question)
             }
@@ -362,17 +362,17 @@
             Waiting::Turn(order) => self.take_turn(now, at, order, waited, plant),
             Waiting::Write(version) => {
                 let place = version.sequence;
-                match self.coordinator.progress_of(version) {
+                match self.coordinator.write_progress(version) {
                     _ if plant == Some(Plant::AcknowledgedEarly) => Some(Answer::Acknowledged { place }),
                     Progress::Done => Some(Answer::Acknowledged { place }),
-                    Progress::Overtaken => Some(Answer::Unsure),
-                    Progress::Waiting => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+                    Progress::Superseded => Some(Answer::Unsure),
+                    Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
                 }
             }
-            Waiting::Refusal(question) => match self.coordinator.answer_to(question) {
+            Waiting::Refusal(question) => match self.coordinator.quorum_check_progress(question) {
                 Progress::Done => Some(Answer::Conflict),
-                Progress::Overtaken => Some(Answer::Unsure),
-                Progress::Waiting => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+                Progress::Superseded => Some(Answer::Unsure),
+                Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
             },
             Waiting::Read(question) => self.read(question, waited, plant),
         }
@@ -387,7 +387,7 @@
         plant: Option<Plant>,
     ) -> Option<Answer> {
         let replica = self.coordinator.replica();
-        if replica.takes_writes().is_err() {
+        if replica.check_writable().is_err() {
             return (waited > TURN_PATIENCE || !replica.is_head()).then_some(Answer::Unsure);
         }
         let place = replica.version().sequence;
@@ -400,7 +400,7 @@
             Decision::Forgotten => Some(Answer::Unsure),
             Decision::Conflict if plant == Some(Plant::RefusalWithoutContact) => Some(Answer::Conflict),
             Decision::Conflict => {
-                let (question, outcome) = self.coordinator.ask_majority(time(now));
+                let (question, outcome) = self.coordinator.start_quorum_check(time(now));
                 self.perform(outcome);
                 self.open[at].waiting = Waiting::Refusal(question);
                 None
@@ -414,7 +414,7 @@
         }
     }
 
-    fn read(&mut self, question: Question, waited: Micros, plant: Option<Plant>) -> Option<Answer> {
+    fn read(&mut self, question: QuorumCheck, waited: Micros, plant: Option<Plant>) -> Option<Answer> {
         let replica = self.coordinator.replica();
         let value = |ledger: &Ledger| Answer::Value {
             generation: ledger.generation,
@@ -423,10 +423,10 @@
         if plant == Some(Plant::AnyLinkAnswersReads) {
             return Some(value(replica.value()));
         }
-        match self.coordinator.answer_to(question) {
-            Progress::Done => Some(self.coordinator.value_for_reads().map_or(Answer::Unsure, |it| value(it))),
-            Progress::Overtaken => Some(Answer::Unsure),
-            Progress::Waiting => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+        match self.coordinator.quorum_check_progress(question) {
+            Progress::Done => Some(self.coordinator.readable_value().map_or(Answer::Unsure, |it| value(it))),
+            Progress::Superseded => Some(Answer::Unsure),
+            Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
         }
     }
 }
--- a/crates/simulation/src/stores/core.rs
+++ b/crates/simulation/src/stores/core.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    GiveUp, GiveUpRefusal, GroupNumber, Heard, HolderSeen, Identity, LastHolder, Planner, PlannerBug,
-    StoreView,
+    GiveUpError, GiveUpRequest, GroupNumber, HolderStatus, Identity, LastHolder, Planner, PlannerBug,
+    StoreReport, StoreView,
 };
 
 use crate::day::{Micros, MILLISECOND};
@@ -41,7 +41,7 @@
     pub view: Arc<StoreView>,
     /// All views, with when each was decided.
     views: Vec<(Micros, Arc<StoreView>)>,
-    heard: BTreeMap<Identity, (Heard, Micros)>,
+    heard: BTreeMap<Identity, (StoreReport, Micros)>,
     /// What each store told last, to the present head.
     last: BTreeMap<Identity, LastTold>,
     /// Names of batch jobs that the present head was told, and those on record.
@@ -85,7 +85,7 @@
     }
 
     /// A store told of itself; true if that is news.
-    pub fn hear(&mut self, now: Micros, heard: Heard, of_groups: OfGroups) -> bool {
+    pub fn hear(&mut self, now: Micros, heard: StoreReport, of_groups: OfGroups) -> bool {
         if self.is_dark(now) {
             return false;
         }
@@ -103,18 +103,18 @@
         !self.is_dark(now) && now >= self.judges_from
     }
 
-    fn fresh(&mut self, now: Micros) -> Vec<Heard> {
+    fn fresh(&mut self, now: Micros) -> Vec<StoreReport> {
         self.heard.retain(|_, (_, at)| now < *at + LOST_AFTER);
         self.heard.values().map(|(heard, _)| heard.clone()).collect()
     }
 
     /// Looks at the stores: who is heard, if the head may judge that.
-    pub fn look(&mut self, now: Micros) -> Option<Vec<Heard>> {
+    pub fn look(&mut self, now: Micros) -> Option<Vec<StoreReport>> {
         self.judges(now).then(|| self.fresh(now))
     }
 
     /// Plans with what was seen when the head looked; gives the next view, if there is one.
-    pub fn plan(&mut self, now: Micros, heard: &[Heard]) -> Option<Arc<StoreView>> {
+    pub fn plan(&mut self, now: Micros, heard: &[StoreReport]) -> Option<Arc<StoreView>> {
         if !self.judges(now) {
             return None;
         }
@@ -127,7 +127,7 @@
     }
 
     /// Names of batch jobs whose holders are all silent go on record.
-    fn record_names(&mut self, heard: &[Heard]) {
+    fn record_names(&mut self, heard: &[StoreReport]) {
         for (group, names) in &self.names {
             let holders = seen_as_silent(&self.view, *group, heard);
             if !holders.is_empty() && holders.iter().all(|seen| seen.silent_for.is_some()) {
@@ -137,16 +137,16 @@
     }
 
     /// What the head knows of a group's holders.
-    pub fn holders_seen(&self, now: Micros, group: GroupNumber) -> Vec<HolderSeen> {
+    pub fn holders_seen(&self, now: Micros, group: GroupNumber) -> Vec<HolderStatus> {
         let seen = |number| {
             let identity = &self.view.store(number)?.member.identity;
             let last = self.last.get(identity);
             let silent = now - last.map_or(self.judges_from.min(now), |last| last.at);
             let silent_for = (silent >= LOST_AFTER).then(|| Duration::from_micros(silent));
             let entries = last.and_then(|last| last.entries.get(&group).copied());
-            Some(HolderSeen { holder: LastHolder { node: identity.node.clone(), entries }, silent_for })
+            Some(HolderStatus { holder: LastHolder { node: identity.node.clone(), entries }, silent_for })
         };
-        self.view.holders_on_record(group).into_iter().filter_map(seen).collect()
+        self.view.recorded_holders(group).into_iter().filter_map(seen).collect()
     }
 
     /// An operator looks at a group and gives it up.
@@ -155,7 +155,7 @@
         now: Micros,
         group: GroupNumber,
         after: Micros,
-    ) -> Option<Result<Arc<StoreView>, GiveUpRefusal>> {
+    ) -> Option<Result<Arc<StoreView>, GiveUpError>> {
         if !self.judges(now) {
             return None;
         }
@@ -209,9 +209,9 @@
 }
 
 /// The order of an operator who has looked at a group.
-fn order_of(view: &StoreView, group: GroupNumber, seen: &[HolderSeen]) -> GiveUp {
+fn order_of(view: &StoreView, group: GroupNumber, seen: &[HolderStatus]) -> GiveUpRequest {
     let holders = seen.iter().map(|seen| seen.holder.clone()).collect();
-    GiveUp { group, epoch: view.epoch, holders, forced: false }
+    GiveUpRequest { group, epoch: view.epoch, holders, forced: false }
 }
 
 /// The view after giving a group up, however short its holders were silent.
@@ -219,19 +219,19 @@
     planner: &Planner,
     view: &StoreView,
     group: GroupNumber,
-    seen: &[HolderSeen],
+    seen: &[HolderStatus],
     names: Vec<String>,
-) -> Result<StoreView, GiveUpRefusal> {
+) -> Result<StoreView, GiveUpError> {
     planner.give_up(view, &order_of(view, group, seen), seen, names, Duration::ZERO)
 }
 
 /// A group's holders, silent but for those that are heard.
-pub fn seen_as_silent(view: &StoreView, group: GroupNumber, heard: &[Heard]) -> Vec<HolderSeen> {
+pub fn seen_as_silent(view: &StoreView, group: GroupNumber, heard: &[StoreReport]) -> Vec<HolderStatus> {
     let seen = |number| {
         let identity = &view.store(number)?.member.identity;
         let is_heard = heard.iter().any(|heard| heard.member.identity == *identity);
         let holder = LastHolder { node: identity.node.clone(), entries: None };
-        Some(HolderSeen { holder, silent_for: (!is_heard).then_some(Duration::ZERO) })
+        Some(HolderStatus { holder, silent_for: (!is_heard).then_some(Duration::ZERO) })
     };
-    view.holders_on_record(group).into_iter().filter_map(seen).collect()
+    view.recorded_holders(group).into_iter().filter_map(seen).collect()
 }
--- a/crates/simulation/src/stores/exhaustive/world.rs
+++ b/crates/simulation/src/stores/exhaustive/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use fennelgauge_batch::{Item, Job, Page};
-use fennelgauge_coordination::{Heard, Planner, PlannerBug, StoreView};
+use fennelgauge_coordination::{Planner, PlannerBug, StoreReport, StoreView};
 
 use super::event::{
     places, StoreEvent, Stores, ALL, EARLY, GROUP, ITEMS, JOB, LATE, LOSSES, MOST_PLANS, MOST_ROUNDS, STORES,
@@ -119,11 +119,11 @@
         chain.into_iter().filter_map(place).collect()
     }
 
-    pub fn heard(&self, set: Stores) -> Vec<Heard> {
+    pub fn heard(&self, set: Stores) -> Vec<StoreReport> {
         places(set).map(|place| self.stores[place].heard()).collect()
     }
 
-    pub fn planner<'a>(&self, heard: &'a [Heard]) -> Planner<'a> {
+    pub fn planner<'a>(&self, heard: &'a [StoreReport]) -> Planner<'a> {
         Planner::new(LOSSES, heard, true).with_planted(self.planner_bug)
     }
 
--- a/crates/simulation/src/stores/placing.rs
+++ b/crates/simulation/src/stores/placing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fennelgauge_coordination::{Heard, StoreView};
+use fennelgauge_coordination::{StoreReport, StoreView};
 
 use super::client::{group_of, with_overage};
 use super::core::{OfGroups, GATHER_FOR, PLAN_EVERY};
@@ -46,7 +46,7 @@
         self.at(at, Event::Decide { heard });
     }
 
-    pub(super) fn decide(&mut self, heard: &[Heard]) {
+    pub(super) fn decide(&mut self, heard: &[StoreReport]) {
         let before = self.core.view.epoch;
         if let Some(view) = self.core.plan(self.now, heard) {
             if view.epoch > before {
@@ -56,7 +56,7 @@
         self.take_retired_away();
     }
 
-    pub(super) fn hear(&mut self, heard: Heard, of_groups: OfGroups) {
+    pub(super) fn hear(&mut self, heard: StoreReport, of_groups: OfGroups) {
         let store = Network::machine(heard.member.peer);
         if !self.core.is_dark(self.now) {
             self.strike_first_word(store);
--- a/crates/simulation/src/stores/store.rs
+++ b/crates/simulation/src/stores/store.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Identity, Member, StoreNumber, StoreView, Told};
+use fennelgauge_coordination::{
+    GroupConfirmation, GroupNumber, Identity, Member, StoreNumber, StoreReport, StoreView,
+};
 use fennelgauge_replication::{Entry, EntryPosition, Replica, Role};
 
 use super::core::OfGroups;
@@ -255,11 +257,15 @@
         }
     }
 
-    pub fn heard(&self) -> Heard {
+    pub fn heard(&self) -> StoreReport {
         let told = |groups: &BTreeMap<GroupNumber, u64>| {
-            groups.iter().map(|(group, epoch)| Told { group: *group, epoch: *epoch }).collect()
+            groups.iter().map(|(group, epoch)| GroupConfirmation { group: *group, epoch: *epoch }).collect()
         };
-        Heard { member: self.member(), copied: told(&self.copied), holds: told(&self.holds) }
+        StoreReport {
+            member: self.member(),
+            copied_groups: told(&self.copied),
+            held_groups: told(&self.holds),
+        }
     }
 
     /// The entries that it has of a group.
--- a/crates/simulation/src/stores/strikes.rs
+++ b/crates/simulation/src/stores/strikes.rs
@@ -230,7 +230,7 @@
     /// All stores that hold a group are lost beyond what is borne, or cut off together.
     fn lose_group(&mut self, strike: usize, cut_off: bool, for_: Micros) {
         let view = self.core.view.clone();
-        let holders = view.holders_on_record(group_of(strike % self.day.tenants));
+        let holders = view.recorded_holders(group_of(strike % self.day.tenants));
         let places: Vec<usize> = holders.into_iter().filter_map(|number| self.place_of(number)).collect();
         if places.len() + self.day.losses + 1 > self.stores.len() {
             return;
@@ -256,7 +256,7 @@
         self.at(self.now + OPERATOR_EVERY, Event::Operator);
         for tenant in 0..self.day.tenants {
             let group = group_of(tenant);
-            let holders = self.core.view.holders_on_record(group);
+            let holders = self.core.view.recorded_holders(group);
             let heard = self.core.holders_seen(self.now, group).iter().any(|seen| seen.silent_for.is_none());
             let Some(Ok(view)) = self.core.give_up(self.now, group, GIVE_UP_AFTER) else { continue };
             self.print(|| format!("--- group {} is given up: {holders:?}", group.0));
@@ -264,8 +264,10 @@
             if heard {
                 self.judge.blame_giving_up(now, format!("group {} is given up, a holder is heard", group.0));
             }
-            let names =
-                view.group(group).map(|group| group.given_up.iter().cloned().collect()).unwrap_or_default();
+            let names = view
+                .group(group)
+                .map(|group| group.given_up_jobs.iter().cloned().collect())
+                .unwrap_or_default();
             self.forgotten += self.judge.give_up(now, &tenant_name(tenant), &names) as u64;
             self.spread(&view);
         }
--- a/crates/simulation/src/stores/world.rs
+++ b/crates/simulation/src/stores/world.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fennelgauge_batch_judge::{BatchJudge, Bounds, Broken, Rule};
-use fennelgauge_coordination::{Heard, StoreView};
+use fennelgauge_coordination::{StoreReport, StoreView};
 
 use super::client::{group_of, with_overage, Client, Duty, CLIENT_PATIENCE, MOST_QUEUED};
 use super::core::{OfGroups, SimCore, PLAN_EVERY};
@@ -97,7 +97,7 @@
         life: u64,
     },
     Hear {
-        heard: Heard,
+        heard: StoreReport,
         of_groups: OfGroups,
     },
     Plan {
@@ -105,7 +105,7 @@
     },
     /// The plan that follows from who was heard when the head looked.
     Decide {
-        heard: Vec<Heard>,
+        heard: Vec<StoreReport>,
     },
     /// An operator looks at the groups.
     Operator,
@@ -188,7 +188,7 @@
     pub wipes: usize,
     pub troubled_until: Micros,
     pub closed: bool,
-    pub told: BTreeMap<usize, Heard>,
+    pub told: BTreeMap<usize, StoreReport>,
     next_call: u64,
     shown_dropped: Vec<String>,
     trace: u64,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -105,7 +105,7 @@
 
 impl<'a> World<'a> {
     fn new(day: &'a Day, plant: Option<Plant>) -> Self {
-        let rules = ViewRules::for_losses(day.losses);
+        let rules = ViewRules::tolerating(day.losses);
         let first_seeds: Vec<SocketAddr> = (0..3).map(Network::address).collect();
         let machines =
             (0..day.machines).map(|number| Machine::new(number, &first_seeds, true, rules, plant)).collect();
@@ -423,10 +423,10 @@
         let Some(newest) = newest else { return };
         let view = newest.view().clone();
         let up = self.machines.iter().filter(|machine| machine.is_up()).count();
-        let wanted = self.rules.voters().min(up);
+        let wanted = self.rules.voter_count().min(up);
         let level = self.machines.iter().filter(|machine| {
-            let in_chain = view.link(&machine.identity).is_some();
-            in_chain && machine.process.as_ref().is_some_and(|it| it.coordinator.replica().is_level())
+            let in_chain = view.chain_index(&machine.identity).is_some();
+            in_chain && machine.process.as_ref().is_some_and(|it| it.coordinator.replica().is_caught_up())
         });
         let level = level.count();
         if level < wanted || view.voters.len() < wanted {
@@ -435,7 +435,7 @@
         }
         let committed = self.machines.iter().filter_map(|machine| {
             let replica = machine.process.as_ref()?.coordinator.replica();
-            replica.committed().map(|committed| committed.sequence)
+            replica.committed_version().map(|committed| committed.sequence)
         });
         let last = committed.max();
         self.judge.close(now, last);
--- a/crates/wire/examples/fuzz_messages.rs
+++ b/crates/wire/examples/fuzz_messages.rs
@@ -69,8 +69,8 @@
             accepted: Some((ballot, view.clone())),
             version,
         },
-        Message::Install { view },
-        Message::Piece { version, total: 99, offset: 3, bytes: vec![1; 40] },
+        Message::InstallView { view },
+        Message::SnapshotChunk { version, total: 99, offset: 3, bytes: vec![1; 40] },
     ];
     let envelopes = messages
         .into_iter()
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -4,7 +4,8 @@
 
 use fennelgauge_batch::{Job, Page};
 use fennelgauge_coordination::{
-    Envelope, GiveUp, GiveUpRefusal, GivenUp, GroupNumber, Heard, HolderSeen, StoreView, View,
+    Envelope, GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, StoreReport, StoreView,
+    View,
 };
 use fennelgauge_model::ServerList;
 use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
@@ -113,7 +114,7 @@
     /// What is known of a group of batch jobs, to the head.
     Group(GroupNumber),
     /// To give a group up, to the head.
-    GiveUp(GiveUp),
+    GiveUp(GiveUpRequest),
 }
 
 /// The operator's order.
@@ -181,18 +182,18 @@
     /// Of the stores.
     pub view: u64,
     pub is_open: bool,
-    pub holders: Vec<HolderSeen>,
+    pub holders: Vec<HolderStatus>,
     pub joining: Vec<String>,
     pub learner: Option<String>,
     /// Oldest first.
-    pub given_up: Vec<GivenUp>,
+    pub given_up: Vec<GiveUpRecord>,
 }
 
 /// What became of an order to give a group up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GiveUpReply {
     Done,
-    Refused(GiveUpRefusal),
+    Refused(GiveUpError),
     /// Not taken; ask again.
     Unavailable,
     /// May have been carried out.
@@ -202,7 +203,7 @@
 /// A store is there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorePresence {
-    pub heard: Heard,
+    pub heard: StoreReport,
     /// Now and then: how many entries it has, by group.
     pub entries: Vec<(GroupNumber, u64)>,
     /// Batch jobs that it has taken as a head since it told last.
