--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -7,7 +7,7 @@
 use super::costs::Writes;
 use fennelgauge_coordination::GroupNumber;
 use fennelgauge_versions::{VersionDirectory, VersionName, VersionsError};
-use fennelgauge_wire::{decode, encode, Entry, GroupCopy};
+use fennelgauge_wire::{decode, encode, Entry, GroupSnapshot};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
@@ -21,7 +21,7 @@
     /// Replaces what was known of the group.
     Copy {
         group: GroupNumber,
-        copy: GroupCopy,
+        copy: GroupSnapshot,
     },
 }
 
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{EntryPosition, Missing};
+use fennelgauge_replication::{CatchUp, EntryPosition};
 use fennelgauge_wire::{StoreReply, StoreRequest};
 use futures_util::future::join_all;
 use tokio::time::{timeout, Instant};
@@ -53,18 +53,18 @@
         match self.ask(head, StoreRequest::Fetch { epoch, group, after }, FETCH_TIMEOUT).await {
             Some(StoreReply::Entries(batch)) => {
                 let lacked = batch.entries.len();
-                let taken = self.replica(group).borrow_mut().learn(epoch, &batch);
+                let taken = self.replica(group).borrow_mut().append_as_learner(epoch, &batch);
                 if !taken.is_empty()
                     && !self.journal_records(taken.into_iter().map(Record::Entry).collect()).await
                 {
                     return false;
                 }
                 let mut replica = self.replica(group).borrow_mut();
-                replica.mark_synced(batch.end);
-                replica.has_copied(batch.end, lacked)
+                replica.mark_durable(batch.end);
+                replica.may_report_copied(batch.end, lacked)
             }
             Some(StoreReply::Copy(copy)) => {
-                let installed = self.replica(group).borrow_mut().install(epoch, &copy);
+                let installed = self.replica(group).borrow_mut().install_snapshot(epoch, &copy);
                 self.write_installed(group, after, installed, &copy).await;
                 false
             }
@@ -77,14 +77,14 @@
         let view = self.view_of(epoch).await;
         let role = view.and_then(|view| self.role(&view, group));
         let until = Instant::now() + COPY_TIMEOUT;
-        let missing = self.replica(group).borrow().missing_for_learner(role.as_ref(), group, after);
+        let missing = self.replica(group).borrow().catch_up_for_learner(role.as_ref(), group, after);
         let Some(missing) = missing else { return StoreReply::OtherEpoch(self.view().epoch) };
         match missing {
-            Missing::Entries(batch) => match self.synced(group, batch.end, until).await {
+            CatchUp::Entries(batch) => match self.synced(group, batch.end, until).await {
                 true => StoreReply::Entries(batch),
                 false => StoreReply::Unsure,
             },
-            Missing::Copy => match self.copy_on_disk(group, until).await {
+            CatchUp::Snapshot => match self.copy_on_disk(group, until).await {
                 Some(copy) => StoreReply::Copy(copy),
                 None => StoreReply::Unsure,
             },
--- a/crates/control-plane/src/store/level.rs
+++ b/crates/control-plane/src/store/level.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, StoreNumber, StoreView};
-use fennelgauge_replication::{Confirmation, EntryPosition, Outcome, Role, CONFIRM_WITHIN};
+use fennelgauge_replication::{Confirmation, ConfirmationStatus, EntryPosition, Role, CONFIRM_TIMEOUT};
 use fennelgauge_wire::{StoreReply, StoreRequest};
 use futures_util::future::join_all;
 use tokio::time::{timeout, Instant};
@@ -29,7 +29,8 @@
             let view = self.view();
             let roles: Vec<(GroupNumber, Role)> =
                 GroupNumber::all().filter_map(|group| Some((group, self.role(&view, group)?))).collect();
-            let is_behind = |group: &GroupNumber, role: &Role| !self.replica(*group).borrow().is_level(role);
+            let is_behind =
+                |group: &GroupNumber, role: &Role| !self.replica(*group).borrow().is_caught_up(role);
             behind_since.retain(|group, _| roles.iter().any(|(of, role)| of == group && is_behind(of, role)));
             let mut asked: BTreeMap<SocketAddr, Vec<GroupNumber>> = BTreeMap::new();
             for (group, role) in &roles {
@@ -58,7 +59,7 @@
         let untold: Vec<&(GroupNumber, Role)> = roles
             .iter()
             .filter(|(group, role)| role.joining_since.is_some() && !self.holds.borrow().contains_key(group))
-            .filter(|(group, role)| self.replica(*group).borrow().is_level(role))
+            .filter(|(group, role)| self.replica(*group).borrow().is_caught_up(role))
             .collect();
         let confirmed = untold
             .into_iter()
@@ -84,7 +85,7 @@
 
     /// A head stands where its chain stands; a group that was given up it begins anew.
     pub(super) fn lead_if_head(self: &Rc<Self>, role: &Role, group: GroupNumber) {
-        let begun = self.replica(group).borrow_mut().lead(group, role);
+        let begun = self.replica(group).borrow_mut().become_head(group, role);
         let Some(copy) = begun else { return };
         log::error!("group {} was given up: it is begun anew without the batch jobs that it held", group.0);
         self.stop_group(group);
@@ -93,7 +94,7 @@
         let store = self.clone();
         tokio::task::spawn_local(async move {
             if written.await {
-                store.replica(group).borrow_mut().mark_synced(end);
+                store.replica(group).borrow_mut().mark_durable(end);
                 store.changed.notify_waiters();
             }
         });
@@ -108,7 +109,7 @@
     ) -> Vec<(StoreNumber, Option<EntryPosition>)> {
         let asked = links.iter().map(|link| async move {
             let request = StoreRequest::Position { epoch: view.epoch, group };
-            match self.ask(self.peer(view, *link)?, request, CONFIRM_WITHIN).await {
+            match self.ask(self.peer(view, *link)?, request, CONFIRM_TIMEOUT).await {
                 Some(StoreReply::Position(position)) => Some(position),
                 _ => None,
             }
@@ -124,14 +125,14 @@
         group: GroupNumber,
         role: &Role,
     ) -> bool {
-        let until = Instant::now() + CONFIRM_WITHIN;
+        let until = Instant::now() + CONFIRM_TIMEOUT;
         self.lead_if_head(role, group);
         let mut confirmation = Confirmation::new(role);
         for (link, position) in self.ask_positions(view, group, &role.others).await {
-            confirmation.hear(link, position);
+            confirmation.record_answer(link, position);
         }
-        let outcome = || confirmation.outcome(&self.replica(group).borrow());
-        self.reached(until, || outcome() != Outcome::Waits).await;
-        outcome() == Outcome::Certain
+        let outcome = || confirmation.status(&self.replica(group).borrow());
+        self.reached(until, || outcome() != ConfirmationStatus::Pending).await;
+        outcome() == ConfirmationStatus::Confirmed
     }
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -25,7 +25,7 @@
     GroupNumber, Identity, Member, StoreNumber, StoreView, GROUP_COUNT, STORE_LEASE_DURATION,
 };
 use fennelgauge_http::until_stopped;
-use fennelgauge_replication::{Query, Replica, Role};
+use fennelgauge_replication::{ReadQuery, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
     keep_reachable, share_uses, subscribe, wall_clock, Known, Pool, Sender, Subscription,
@@ -124,7 +124,7 @@
             restore(&mut groups, record);
         }
         for replica in &mut groups {
-            replica.mark_synced(replica.position());
+            replica.mark_durable(replica.position());
         }
         let earliest_view = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
@@ -166,7 +166,7 @@
             }
             StoreRequest::End { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
             StoreRequest::Read { epoch, group, tenant, job, start, wait_ms } => {
-                let query = Query { tenant, job, start };
+                let query = ReadQuery { tenant, job, start };
                 self.read(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
             StoreRequest::Body { epoch, group, tenant, job, item } => {
@@ -258,7 +258,7 @@
     fn journal_all(&self) -> tokio::sync::oneshot::Receiver<bool> {
         let whole: Vec<Record> = GroupNumber::all()
             .filter(|group| self.replica(*group).borrow().position().sequence > 0)
-            .map(|group| Record::Copy { group, copy: self.replica(group).borrow().copy() })
+            .map(|group| Record::Copy { group, copy: self.replica(group).borrow().snapshot() })
             .collect();
         self.whole_size.set(whole.iter().map(record_size).sum());
         self.written.set(0);
@@ -281,7 +281,7 @@
                 continue;
             }
             for (group, position) in GroupNumber::all().zip(positions) {
-                self.replica(group).borrow_mut().mark_synced(position);
+                self.replica(group).borrow_mut().mark_durable(position);
             }
             self.changed.notify_waiters();
         }
@@ -292,13 +292,13 @@
     match record {
         Record::Entry(entry) => {
             let Some(replica) = groups.get_mut(usize::from(entry.group.0)) else { return };
-            if !replica.restore(&entry) {
+            if !replica.restore_entry(&entry) {
                 log::error!("group {}: entry {:?} does not fit", entry.group.0, entry.position);
             }
         }
         Record::Copy { group, copy } => {
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
-            if !replica.restore_copy(&copy) {
+            if !replica.restore_snapshot(&copy) {
                 log::error!("group {}: its copy up to {:?} cannot be read", group.0, copy.position);
             }
         }
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -9,9 +9,11 @@
 
 use fennelgauge_batch::Command;
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{Care, Fate, Installed, Onward, Repair, RepairStep, Role};
+use fennelgauge_replication::{
+    EntryStatus, ForwardTarget, InstallResult, Repair, RepairStep, RepairUrgency, Role,
+};
 use fennelgauge_wire::{
-    Entry, EntryBatch, EntryPosition, GroupCopy, Reply, Request, StoreReply, StoreRequest,
+    Entry, EntryBatch, EntryPosition, GroupSnapshot, Reply, Request, StoreReply, StoreRequest,
 };
 use futures_util::future::join_all;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
@@ -36,7 +38,7 @@
             _ => 0,
         };
         self.made.count(results);
-        let entry = self.replica(group).borrow_mut().create(group, view.epoch, command);
+        let entry = self.replica(group).borrow_mut().create_entry(group, view.epoch, command);
         let position = entry.position;
         self.pending.borrow_mut().push(entry);
         self.flush.notify_one();
@@ -71,7 +73,7 @@
             groups.entry(entry.group).or_default().push(entry);
         }
         let batch =
-            |(group, entries): (GroupNumber, _)| self.replica(group).borrow().batch_of(group, entries);
+            |(group, entries): (GroupNumber, _)| self.replica(group).borrow().batch_from(group, entries);
         groups.into_iter().filter_map(batch).collect()
     }
 
@@ -86,7 +88,7 @@
             return Vec::new();
         }
         for batch in &batches {
-            self.replica(batch.group).borrow_mut().mark_synced(batch.end);
+            self.replica(batch.group).borrow_mut().mark_durable(batch.end);
         }
         self.changed.notify_waiters();
         let view = self.view();
@@ -99,11 +101,11 @@
         for batch in batches {
             let group = batch.group;
             let Some(role) = self.role(&view, group) else { continue };
-            let next = self.replica(group).borrow().onward(&role, batch.end);
+            let next = self.replica(group).borrow().forward_target(&role, batch.end);
             match next {
-                Onward::Nowhere => continue,
-                Onward::Everywhere => reached.push((group, batch.end)),
-                Onward::To(successor) => {
+                ForwardTarget::Blocked => continue,
+                ForwardTarget::EndOfChain => reached.push((group, batch.end)),
+                ForwardTarget::Successor(successor) => {
                     let Some(peer) = self.peer(&view, successor) else { continue };
                     onward.entry(peer).or_default().push(batch);
                 }
@@ -114,7 +116,7 @@
         reached.extend(join_all(calls).await.into_iter().flatten());
         for (group, end) in &reached {
             if let Some(role) = roles.get(group) {
-                self.replica(*group).borrow_mut().mark_reached(role, *end);
+                self.replica(*group).borrow_mut().mark_replicated(role, *end);
             }
         }
         self.changed.notify_waiters();
@@ -158,9 +160,9 @@
         let mut records = Vec::new();
         for batch in batches {
             let role = self.role(&view, batch.group);
-            let followed = self.replica(batch.group).borrow_mut().append(role.as_ref(), &batch);
-            records.extend(followed.taken.into_iter().map(Record::Entry));
-            if followed.is_level {
+            let followed = self.replica(batch.group).borrow_mut().append_as_link(role.as_ref(), &batch);
+            records.extend(followed.appended.into_iter().map(Record::Entry));
+            if followed.is_caught_up {
                 level.push(batch);
             }
         }
@@ -172,7 +174,7 @@
     /// How far this store, as a link, is in a group in the view of `epoch`.
     pub(super) async fn position(&self, epoch: u64, group: GroupNumber) -> StoreReply {
         let role = self.view_of(epoch).await.and_then(|view| self.role(&view, group));
-        let position = self.replica(group).borrow().position_as(role.as_ref());
+        let position = self.replica(group).borrow().position_in_role(role.as_ref());
         position.map_or_else(|| StoreReply::OtherEpoch(self.view().epoch), StoreReply::Position)
     }
 
@@ -181,14 +183,14 @@
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
-        copy: &GroupCopy,
+        copy: &GroupSnapshot,
     ) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else {
             return StoreReply::OtherEpoch(self.view().epoch);
         };
         let role = self.role(&view, group);
         let before = self.replica(group).borrow().position();
-        let installed = self.replica(group).borrow_mut().install_as_link(role.as_ref(), copy);
+        let installed = self.replica(group).borrow_mut().install_snapshot_as_link(role.as_ref(), copy);
         match self.write_installed(group, before, installed, copy).await {
             true => StoreReply::Installed,
             false => StoreReply::Unsure,
@@ -196,8 +198,8 @@
     }
 
     /// A whole copy of a group, of which all is on this disk.
-    pub(super) async fn copy_on_disk(&self, group: GroupNumber, until: Instant) -> Option<GroupCopy> {
-        let copy = self.replica(group).borrow().copy();
+    pub(super) async fn copy_on_disk(&self, group: GroupNumber, until: Instant) -> Option<GroupSnapshot> {
+        let copy = self.replica(group).borrow().snapshot();
         self.synced(group, copy.position, until).await.then_some(copy)
     }
 
@@ -206,19 +208,19 @@
         &self,
         group: GroupNumber,
         before: EntryPosition,
-        installed: Installed,
-        copy: &GroupCopy,
+        installed: InstallResult,
+        copy: &GroupSnapshot,
     ) -> bool {
         let number = group.0;
         match installed {
-            Installed::Yes { drops_shown: Some(shown) } => log::error!(
+            InstallResult::Installed { lost_read: Some(shown) } => log::error!(
                 "group {number}: a copy up to {:?} drops {shown:?}, which was shown here: report this with all stores' logs",
                 copy.position
             ),
-            Installed::Yes { drops_shown: None } => {
+            InstallResult::Installed { lost_read: None } => {
                 log::info!("group {number}: from {before:?} to a copy up to {:?}", copy.position);
             }
-            Installed::Unreadable | Installed::Outdated | Installed::NotALink => {
+            InstallResult::Corrupt | InstallResult::Outdated | InstallResult::NotInChain => {
                 log::info!("group {number}: a copy up to {:?} is not taken: {installed:?}", copy.position);
                 return false;
             }
@@ -226,20 +228,20 @@
         if !self.journal_records(vec![Record::Copy { group, copy: copy.clone() }]).await {
             return false;
         }
-        self.replica(group).borrow_mut().mark_synced(copy.position);
+        self.replica(group).borrow_mut().mark_durable(copy.position);
         self.changed.notify_waiters();
         true
     }
 
     /// Waits until an entry is committed; false when the time is up, or another entry stands in its place.
     pub(super) async fn committed(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
-        let fate = || self.replica(group).borrow().fate(entry);
-        self.reached(until, || fate() != Fate::InDoubt).await && fate() == Fate::Committed
+        let fate = || self.replica(group).borrow().entry_status(entry);
+        self.reached(until, || fate() != EntryStatus::Pending).await && fate() == EntryStatus::Committed
     }
 
     /// Waits until an entry is on this disk; false when the time is up.
     pub(super) async fn synced(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
-        self.reached(until, || self.replica(group).borrow().has_on_disk(entry)).await
+        self.reached(until, || self.replica(group).borrow().is_durable(entry)).await
     }
 
     /// Waits for a condition that changes of groups can make true.
@@ -269,13 +271,13 @@
                     continue;
                 };
                 let checked = self.checked.borrow().get(&group).copied();
-                let care = self.replica(group).borrow().care(&role, checked);
-                if care == Care::Needless {
+                let care = self.replica(group).borrow().repair_urgency(&role, checked);
+                if care == RepairUrgency::NotNeeded {
                     doubtful.remove(&group);
                     continue;
                 }
                 let since = *doubtful.entry(group).or_insert_with(Instant::now);
-                if care == Care::Now || since.elapsed() > REPAIR_PATIENCE {
+                if care == RepairUrgency::Immediate || since.elapsed() > REPAIR_PATIENCE {
                     repairs.push((group, peer));
                 }
             }
@@ -297,7 +299,7 @@
             Some(StoreReply::Position(theirs)) => Some(theirs),
             _ => None,
         };
-        let mut step = repair.heard_position(&self.replica(group).borrow(), theirs);
+        let mut step = repair.on_position(&self.replica(group).borrow(), theirs);
         let until = Instant::now() + APPEND_TIMEOUT;
         loop {
             step = match step {
@@ -314,14 +316,14 @@
                     let install = StoreRequest::Install { epoch, group, copy };
                     let reply = self.ask(peer, install, INSTALL_TIMEOUT).await;
                     let role = self.role(&self.view(), group);
-                    repair.heard_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
+                    repair.on_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
                 }
                 RepairStep::Append(batch) => {
                     let reached = !self.pass_on(peer, epoch, vec![batch]).await.is_empty();
-                    repair.heard_appended(reached)
+                    repair.on_appended(reached)
                 }
-                RepairStep::Reached(role, end) => {
-                    self.replica(group).borrow_mut().mark_reached(&role, end);
+                RepairStep::Replicated(role, end) => {
+                    self.replica(group).borrow_mut().mark_replicated(&role, end);
                     self.changed.notify_waiters();
                     return true;
                 }
@@ -335,7 +337,7 @@
         loop {
             let changed = self.changed.notified();
             let role = self.role(&self.view(), repair.group);
-            let step = repair.look(&self.replica(repair.group).borrow(), role.as_ref());
+            let step = repair.poll(&self.replica(repair.group).borrow(), role.as_ref());
             if step != RepairStep::Wait {
                 return Some(step);
             }
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -188,7 +188,7 @@
         let mut candidates = Vec::new();
         for group in self.changeable(view) {
             let replica = self.replica(group).borrow();
-            if replica.knows_nothing_committed() {
+            if replica.commit_position_unknown() {
                 continue;
             }
             for state in replica.state().jobs().filter(|state| !state.is_over()) {
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -5,7 +5,7 @@
 
 use fennelgauge_batch::{Command, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{Ending, Query, ReadStep, Reading, Role, Submission};
+use fennelgauge_replication::{EndDecision, ReadOperation, ReadQuery, ReadStep, Role, SubmissionDecision};
 use fennelgauge_wire::StoreReply;
 use tokio::time::{timeout_at, Instant};
 
@@ -24,17 +24,17 @@
     ) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
         let role = self.role(&view, group);
-        let submission = self.replica(group).borrow().submission(role.as_ref(), &job, most_queued);
+        let submission = self.replica(group).borrow().decide_submission(role.as_ref(), &job, most_queued);
         let entry = match submission {
-            Submission::NotTaken => return StoreReply::NotTaken,
-            Submission::OverQuota => return StoreReply::OverQuota,
-            Submission::GivenUp => return StoreReply::GivenUp,
-            Submission::Known(entry) => entry,
-            Submission::New if self.has_room(&job) => {
+            SubmissionDecision::NotWritable => return StoreReply::NotTaken,
+            SubmissionDecision::OverQuota => return StoreReply::OverQuota,
+            SubmissionDecision::GivenUp => return StoreReply::GivenUp,
+            SubmissionDecision::AlreadyAccepted(entry) => entry,
+            SubmissionDecision::Accept if self.has_room(&job) => {
                 self.taken_here.borrow_mut().insert(job.id.clone(), group);
                 self.change(&view, group, Command::Accept(job))
             }
-            Submission::New => return StoreReply::NotTaken,
+            SubmissionDecision::Accept => return StoreReply::NotTaken,
         };
         match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
@@ -44,7 +44,7 @@
 
     /// Whether this store is the head of a chain that enough links hold, and has the group as it was begun last.
     pub(super) fn takes_changes(&self, view: &StoreView, group: GroupNumber) -> bool {
-        self.replica(group).borrow().takes_changes(self.role(view, group).as_ref())
+        self.replica(group).borrow().accepts_writes(self.role(view, group).as_ref())
     }
 
     /// Whether memory and disk have room for one more batch job.
@@ -66,12 +66,12 @@
     ) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
         let role = self.role(&view, group);
-        let ending = self.replica(group).borrow().ending(role.as_ref(), tenant, &job);
+        let ending = self.replica(group).borrow().decide_end(role.as_ref(), tenant, &job);
         let entry = match ending {
-            Ending::NotTaken => return StoreReply::NotTaken,
-            Ending::NotHere => return self.not_here(&view, group, &job).await,
-            Ending::Known(entry) => entry,
-            Ending::New => {
+            EndDecision::NotWritable => return StoreReply::NotTaken,
+            EndDecision::NotFound => return self.not_here(&view, group, &job).await,
+            EndDecision::AlreadyEnded(entry) => entry,
+            EndDecision::End => {
                 let entry = self.change(&view, group, Command::End { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
@@ -97,23 +97,23 @@
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
-        query: Query,
+        query: ReadQuery,
         hold: Duration,
     ) -> StoreReply {
         let began = Instant::now();
         let Some(view) = self.view_of(epoch).await else { return StoreReply::Unsure };
         let (job, start) = (query.job.clone(), query.start);
-        let Some(mut reading) = Reading::new(self.role(&view, group), query, hold) else {
+        let Some(mut reading) = ReadOperation::new(self.role(&view, group), query, hold) else {
             return StoreReply::Unsure;
         };
-        for (link, position) in self.ask_positions(&view, group, reading.links()).await {
-            reading.hear(link, position);
+        for (link, position) in self.ask_positions(&view, group, reading.confirming_links()).await {
+            reading.record_answer(link, position);
         }
         loop {
             let (changed, news) = (self.changed.notified(), self.known.changed());
             let step = {
                 let mut replica = self.replica(group).borrow_mut();
-                reading.look(&mut replica, self.view().epoch, began.elapsed())
+                reading.poll(&mut replica, self.view().epoch, began.elapsed())
             };
             match step {
                 ReadStep::Wait(until) => {
@@ -133,7 +133,7 @@
                 }
                 ReadStep::NotFound => return StoreReply::NotFound,
                 ReadStep::GivenUp => return StoreReply::GivenUp,
-                ReadStep::Unsure => return StoreReply::Unsure,
+                ReadStep::Unavailable => return StoreReply::Unsure,
             }
         }
     }
@@ -161,7 +161,7 @@
     /// and has all that the head has.
     async fn is_readable(self: &Rc<Self>, epoch: u64, group: GroupNumber) -> bool {
         let Some(view) = self.view_of(epoch).await else { return false };
-        match self.role(&view, group).filter(Role::answers_reads) {
+        match self.role(&view, group).filter(Role::serves_reads) {
             Some(role) => self.is_certain(&view, group, &role).await,
             None => false,
         }
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -27,7 +27,7 @@
 
 fn entries(ids: &[&str]) -> (Replica, Vec<Record>) {
     let mut group = Replica::default();
-    let records = ids.iter().map(|id| Record::Entry(group.create(GROUP, 1, accept(id)))).collect();
+    let records = ids.iter().map(|id| Record::Entry(group.create_entry(GROUP, 1, accept(id)))).collect();
     (group, records)
 }
 
@@ -42,7 +42,7 @@
     }
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
     assert_eq!(found.len(), 3);
-    let whole = [Record::Copy { group: GROUP, copy: group.copy() }];
+    let whole = [Record::Copy { group: GROUP, copy: group.snapshot() }];
     assert_eq!(journal.write(&whole, true).blocking_recv(), Ok(true));
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
     let [Record::Copy { copy, .. }] = found.as_slice() else { panic!("only the whole copy is left") };
@@ -62,7 +62,7 @@
     std::fs::rename(&moved, path.join("journal")).expect("the folder is back");
     assert_eq!(journal.write(&records[2..], false).blocking_recv(), Ok(false), "one is missing before it");
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(false));
-    let whole = [Record::Copy { group: GROUP, copy: group.copy() }];
+    let whole = [Record::Copy { group: GROUP, copy: group.snapshot() }];
     assert_eq!(journal.write(&whole, true).blocking_recv(), Ok(true));
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(true));
     std::fs::remove_dir_all(path).expect("removed");
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -177,11 +177,11 @@
         let shared = Command::Accept(job());
         let mut head = Replica::default();
         for replica in [&mut head, &mut *link.replica(GROUP).borrow_mut()] {
-            replica.create(GROUP, 1, shared.clone());
+            replica.create_entry(GROUP, 1, shared.clone());
         }
-        link.replica(GROUP).borrow_mut().create(GROUP, 1, finish("made alone"));
-        let first = head.create(GROUP, 2, finish("of the chain"));
-        let last = head.create(GROUP, 2, Command::End { job: JOB.into() });
+        link.replica(GROUP).borrow_mut().create_entry(GROUP, 1, finish("made alone"));
+        let first = head.create_entry(GROUP, 2, finish("of the chain"));
+        let last = head.create_entry(GROUP, 2, Command::End { job: JOB.into() });
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
@@ -196,7 +196,7 @@
     let folder = std::env::temp_dir().join(format!("fennelgauge-earlier-view-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mut replica = Replica::default();
-    let entry = replica.create(GROUP, 4, Command::Accept(job()));
+    let entry = replica.create_entry(GROUP, 4, Command::Accept(job()));
     let (journal, _) = Journal::open(Some(&folder)).expect("a journal");
     assert_eq!(journal.write(&[Record::Entry(entry)], false).blocking_recv(), Ok(true));
     drop(journal);
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -6,75 +6,75 @@
 
 /// What a head does about a batch job that is submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submission {
+pub enum SubmissionDecision {
     /// This store may not change the group now.
-    NotTaken,
+    NotWritable,
     OverQuota,
     /// A batch job of that name was given up.
     GivenUp,
     /// It is there: taken once this entry is committed.
-    Known(EntryPosition),
-    New,
+    AlreadyAccepted(EntryPosition),
+    Accept,
 }
 
 /// What a head does about the end of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum EndDecision {
     /// This store may not change the group now.
-    NotTaken,
+    NotWritable,
     /// It is not here; that is certain once the other links confirm the view.
-    NotHere,
+    NotFound,
     /// It was ended: that counts once this entry is committed.
-    Known(EntryPosition),
-    New,
+    AlreadyEnded(EntryPosition),
+    End,
 }
 
 /// What has become of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    InDoubt,
+pub enum EntryStatus {
+    Pending,
     Committed,
     /// A copy has taken it away.
-    Gone,
+    Discarded,
 }
 
 impl Replica {
     /// Whether this store, in that role, may change the group.
-    pub fn takes_changes(&self, role: Option<&Role>) -> bool {
-        role.is_some_and(|role| role.takes_changes() && self.is_begun(role))
+    pub fn accepts_writes(&self, role: Option<&Role>) -> bool {
+        role.is_some_and(|role| role.accepts_writes() && self.is_current_incarnation(role))
     }
 
     /// What to do about a batch job that is submitted.
-    pub fn submission(&self, role: Option<&Role>, job: &Job, most_queued: u64) -> Submission {
-        if !self.takes_changes(role) {
-            return Submission::NotTaken;
+    pub fn decide_submission(&self, role: Option<&Role>, job: &Job, most_queued: u64) -> SubmissionDecision {
+        if !self.accepts_writes(role) {
+            return SubmissionDecision::NotWritable;
         }
         match self.state().admission(job, most_queued) {
-            Admission::OverQuota { .. } => Submission::OverQuota,
-            Admission::GivenUp => Submission::GivenUp,
-            Admission::Known => Submission::Known(self.position()),
-            Admission::Fits => Submission::New,
+            Admission::OverQuota { .. } => SubmissionDecision::OverQuota,
+            Admission::GivenUp => SubmissionDecision::GivenUp,
+            Admission::Known => SubmissionDecision::AlreadyAccepted(self.position()),
+            Admission::Fits => SubmissionDecision::Accept,
         }
     }
 
     /// What to do about the end of a tenant's batch job.
-    pub fn ending(&self, role: Option<&Role>, tenant: &str, job: &str) -> Ending {
-        if !self.takes_changes(role) {
-            return Ending::NotTaken;
+    pub fn decide_end(&self, role: Option<&Role>, tenant: &str, job: &str) -> EndDecision {
+        if !self.accepts_writes(role) {
+            return EndDecision::NotWritable;
         }
         match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.ended) {
-            None => Ending::NotHere,
-            Some(true) => Ending::Known(self.position()),
-            Some(false) => Ending::New,
+            None => EndDecision::NotFound,
+            Some(true) => EndDecision::AlreadyEnded(self.position()),
+            Some(false) => EndDecision::End,
         }
     }
 
     /// What has become of an entry that was made here.
-    pub fn fate(&self, entry: EntryPosition) -> Fate {
+    pub fn entry_status(&self, entry: EntryPosition) -> EntryStatus {
         match () {
-            () if self.is_committed(entry) => Fate::Committed,
-            () if !self.contains(entry) => Fate::Gone,
-            () => Fate::InDoubt,
+            () if self.is_committed(entry) => EntryStatus::Committed,
+            () if !self.contains(entry) => EntryStatus::Discarded,
+            () => EntryStatus::Pending,
         }
     }
 }
--- a/crates/replication/src/confirmation.rs
+++ b/crates/replication/src/confirmation.rs
@@ -11,20 +11,20 @@
 pub struct Confirmation {
     role: Role,
     head: Option<StoreNumber>,
-    waiting_for: BTreeSet<StoreNumber>,
+    awaited_links: BTreeSet<StoreNumber>,
     head_position: Option<EntryPosition>,
-    refused: bool,
+    rejected: bool,
 }
 
 /// What a question has come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ConfirmationStatus {
     /// Answers are missing, this store is not level in the view, or it does not have yet what the head had.
-    Waits,
+    Pending,
     /// This store has, on its disk, all that was committed when the question was asked, and nothing that a link before it lacks.
-    Certain,
+    Confirmed,
     /// The view no longer stands at some link.
-    Refused,
+    Rejected,
 }
 
 impl Confirmation {
@@ -33,39 +33,39 @@
         Self {
             role: role.clone(),
             head: role.predecessor.and_then(|_| role.others.first().copied()),
-            waiting_for: role.others.iter().copied().collect(),
+            awaited_links: role.others.iter().copied().collect(),
             head_position: None,
-            refused: false,
+            rejected: false,
         }
     }
 
     /// A link's answer: how far it is in the view of the question, or none if it is in another.
-    pub fn hear(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
+    pub fn record_answer(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
         let Some(position) = position else {
-            self.refused = true;
+            self.rejected = true;
             return;
         };
         if Some(link) == self.head {
             self.head_position = Some(position);
         }
-        self.waiting_for.remove(&link);
+        self.awaited_links.remove(&link);
     }
 
     /// What the question has come to for the store that asked.
-    pub fn outcome(&self, replica: &Replica) -> Outcome {
-        if self.refused {
-            return Outcome::Refused;
+    pub fn status(&self, replica: &Replica) -> ConfirmationStatus {
+        if self.rejected {
+            return ConfirmationStatus::Rejected;
         }
-        if !self.waiting_for.is_empty() || !replica.is_level(&self.role) {
-            return Outcome::Waits;
+        if !self.awaited_links.is_empty() || !replica.is_caught_up(&self.role) {
+            return ConfirmationStatus::Pending;
         }
         let asked = match self.head {
             Some(_) => self.head_position.unwrap_or_default(),
             None => replica.position(),
         };
-        match replica.has_on_disk(asked) {
-            true => Outcome::Certain,
-            false => Outcome::Waits,
+        match replica.is_durable(asked) {
+            true => ConfirmationStatus::Confirmed,
+            false => ConfirmationStatus::Pending,
         }
     }
 }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -33,7 +33,7 @@
 
 /// A group as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct GroupCopy {
+pub struct GroupSnapshot {
     /// The first place of each epoch, oldest first.
     pub history: Vec<EntryPosition>,
     pub position: EntryPosition,
--- a/crates/replication/src/entry_log.rs
+++ b/crates/replication/src/entry_log.rs
@@ -5,10 +5,10 @@
 use crate::{Entry, EntryPosition};
 
 /// Entries kept to bring others level without a whole copy.
-const RECENT_ENTRIES: usize = 512;
-const RECENT_BYTES: usize = 1 << 20;
+const MAX_RECENT_ENTRIES: usize = 512;
+const MAX_RECENT_BYTES: usize = 1 << 20;
 /// Epochs whose first place is remembered.
-const HISTORY_EPOCHS: usize = 64;
+const MAX_HISTORY_EPOCHS: usize = 64;
 
 /// The entries of a group, the older ones by their places only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -22,7 +22,7 @@
 
 impl EntryLog {
     /// Begins where a copy stands.
-    pub fn of_copy(position: EntryPosition, history: Vec<EntryPosition>) -> Self {
+    pub fn from_snapshot(position: EntryPosition, history: Vec<EntryPosition>) -> Self {
         Self { position, history, ..Self::default() }
     }
 
@@ -40,14 +40,14 @@
     pub fn push(&mut self, entry: Entry) {
         if self.history.last().is_none_or(|last| last.epoch != entry.position.epoch) {
             self.history.push(entry.position);
-            if self.history.len() > HISTORY_EPOCHS {
+            if self.history.len() > MAX_HISTORY_EPOCHS {
                 self.history.remove(0);
             }
         }
         self.position = entry.position;
         self.recent_bytes += entry.command.len();
         self.recent.push_back(entry);
-        while self.recent.len() > RECENT_ENTRIES || self.recent_bytes > RECENT_BYTES {
+        while self.recent.len() > MAX_RECENT_ENTRIES || self.recent_bytes > MAX_RECENT_BYTES {
             let Some(oldest) = self.recent.pop_front() else { break };
             self.recent_bytes -= oldest.command.len();
         }
@@ -55,20 +55,20 @@
 
     /// Whether the entry of that place and epoch is among these.
     pub fn contains(&self, position: EntryPosition) -> bool {
-        self.place(position.sequence) == Some(position)
+        self.position_of(position.sequence) == Some(position)
     }
 
     /// Whether these certainly do not have that entry: there are fewer, or another stands in its place.
     pub fn lacks(&self, position: EntryPosition) -> bool {
         let remembered = self.history.first().is_some_and(|first| first.sequence <= position.sequence);
-        match self.place(position.sequence) {
+        match self.position_of(position.sequence) {
             Some(here) => here != position,
             None => remembered || self.history.is_empty(),
         }
     }
 
     /// The place of the entry with that number; none where there is none or its epoch is no longer remembered.
-    pub fn place(&self, sequence: u64) -> Option<EntryPosition> {
+    pub fn position_of(&self, sequence: u64) -> Option<EntryPosition> {
         if sequence > self.position.sequence {
             return None;
         }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -17,14 +17,14 @@
 mod replica;
 mod role;
 
-pub use change::{Ending, Fate, Submission};
-pub use confirmation::{Confirmation, Outcome};
-pub use entry::{Entry, EntryBatch, EntryPosition, GroupCopy};
+pub use change::{EndDecision, EntryStatus, SubmissionDecision};
+pub use confirmation::{Confirmation, ConfirmationStatus};
+pub use entry::{Entry, EntryBatch, EntryPosition, GroupSnapshot};
 pub use entry_log::EntryLog;
-pub use link::{Care, Onward, JOINS_WITHIN};
+pub use link::{ForwardTarget, RepairUrgency, MAX_LAG_TO_JOIN};
 #[cfg(feature = "planted-bugs")]
 pub use planted::ReplicaBug;
-pub use reading::{Query, ReadStep, Reading, CONFIRM_WITHIN};
+pub use reading::{ReadOperation, ReadQuery, ReadStep, CONFIRM_TIMEOUT};
 pub use repair::{Repair, RepairStep};
-pub use replica::{Followed, Installed, Missing, Replica};
+pub use replica::{AppendResult, CatchUp, InstallResult, Replica};
 pub use role::Role;
--- a/crates/replication/src/link.rs
+++ b/crates/replication/src/link.rs
@@ -3,83 +3,83 @@
 
 use fennelgauge_coordination::{GroupNumber, StoreNumber};
 
-use crate::{EntryBatch, EntryPosition, Followed, GroupCopy, Installed, Missing, Replica, Role};
+use crate::{AppendResult, CatchUp, EntryBatch, EntryPosition, GroupSnapshot, InstallResult, Replica, Role};
 
 /// A learner that lacked so few entries at its last look may join the chain: as a link it gets the rest, and does not count as
 /// a holder before.
-pub const JOINS_WITHIN: usize = 24;
+pub const MAX_LAG_TO_JOIN: usize = 24;
 
 /// Where entries that are on this disk go next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Onward {
+pub enum ForwardTarget {
     /// Not from here: this store is not level, or lacks some of them on its disk.
-    Nowhere,
+    Blocked,
     /// This is the last link: all have them.
-    Everywhere,
-    To(StoreNumber),
+    EndOfChain,
+    Successor(StoreNumber),
 }
 
 /// How a successor is to be looked after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Care {
-    Needless,
+pub enum RepairUrgency {
+    NotNeeded,
     /// It may lack something that is most likely still on its way.
-    Soon,
-    Now,
+    Delayed,
+    Immediate,
 }
 
 impl Replica {
     /// Entries from the predecessor. Who is no link, or heads the chain, takes none.
-    pub fn append(&mut self, role: Option<&Role>, batch: &EntryBatch) -> Followed {
+    pub fn append_as_link(&mut self, role: Option<&Role>, batch: &EntryBatch) -> AppendResult {
         match role.filter(|role| !role.is_head()) {
-            Some(role) => self.follow(role, batch),
-            None => Followed { taken: Vec::new(), is_level: false },
+            Some(role) => self.append_from_predecessor(role, batch),
+            None => AppendResult { appended: Vec::new(), is_caught_up: false },
         }
     }
 
     /// Where entries up to `end` go from here.
-    pub fn onward(&self, role: &Role, end: EntryPosition) -> Onward {
-        if !self.passes_on(role) || !self.has_on_disk(end) {
-            return Onward::Nowhere;
+    pub fn forward_target(&self, role: &Role, end: EntryPosition) -> ForwardTarget {
+        if !self.may_forward(role) || !self.is_durable(end) {
+            return ForwardTarget::Blocked;
         }
-        role.successor.map_or(Onward::Everywhere, Onward::To)
+        role.successor.map_or(ForwardTarget::EndOfChain, ForwardTarget::Successor)
     }
 
     /// The answer to whether the view still stands and how far this store is; none if it is no link in it.
-    pub fn position_as(&self, role: Option<&Role>) -> Option<EntryPosition> {
+    pub fn position_in_role(&self, role: Option<&Role>) -> Option<EntryPosition> {
         role.map(|_| self.position())
     }
 
     /// A copy from the predecessor.
-    pub fn install_as_link(&mut self, role: Option<&Role>, copy: &GroupCopy) -> Installed {
+    pub fn install_snapshot_as_link(&mut self, role: Option<&Role>, copy: &GroupSnapshot) -> InstallResult {
         match role.filter(|role| !role.is_head()) {
-            Some(role) => self.install(role.level_since, copy),
-            None => Installed::NotALink,
+            Some(role) => self.install_snapshot(role.caught_up_since, copy),
+            None => InstallResult::NotInChain,
         }
     }
 
     /// What a learner at that place lacks; none if this store does not head the group.
-    pub fn missing_for_learner(
+    pub fn catch_up_for_learner(
         &self,
         role: Option<&Role>,
         group: GroupNumber,
         theirs: EntryPosition,
-    ) -> Option<Missing> {
-        role.filter(|role| role.is_head()).map(|_| self.missing_at(group, theirs))
+    ) -> Option<CatchUp> {
+        role.filter(|role| role.is_head()).map(|_| self.catch_up_from(group, theirs))
     }
 
     /// Whether a learner that took a batch of so many entries up to `end` may tell that it has copied the group.
-    pub fn has_copied(&self, end: EntryPosition, lacked: usize) -> bool {
-        self.contains(end) && lacked <= JOINS_WITHIN
+    pub fn may_report_copied(&self, end: EntryPosition, lacked: usize) -> bool {
+        self.contains(end) && lacked <= MAX_LAG_TO_JOIN
     }
 
     /// Whether the successor is to be looked after; `checked` is the view in which it was last found level.
-    pub fn care(&self, role: &Role, checked: Option<u64>) -> Care {
+    pub fn repair_urgency(&self, role: &Role, checked: Option<u64>) -> RepairUrgency {
         match () {
-            () if role.successor.is_none() || !self.passes_on(role) => Care::Needless,
-            () if checked < role.successor_level_since => Care::Now,
-            () if self.is_in_doubt() => Care::Soon,
-            () => Care::Needless,
+            () if role.successor.is_none() || !self.may_forward(role) => RepairUrgency::NotNeeded,
+            () if checked < role.successor_caught_up_since => RepairUrgency::Immediate,
+            () if self.has_uncommitted() => RepairUrgency::Delayed,
+            () => RepairUrgency::NotNeeded,
         }
     }
 }
--- a/crates/replication/src/reading.rs
+++ b/crates/replication/src/reading.rs
@@ -6,16 +6,16 @@
 use fennelgauge_batch::Page;
 use fennelgauge_coordination::StoreNumber;
 
-use crate::{Confirmation, EntryPosition, Outcome, Replica, Role};
+use crate::{Confirmation, ConfirmationStatus, EntryPosition, Replica, Role};
 
 /// The other links have to confirm the view within this time.
-pub const CONFIRM_WITHIN: Duration = Duration::from_millis(900);
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(900);
 /// What is shown has to be on the disk within this time.
-const ON_DISK_WITHIN: Duration = Duration::from_millis(1_000);
+const DURABILITY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What a reader asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Query {
+pub struct ReadQuery {
     pub tenant: String,
     pub job: String,
     /// The first position.
@@ -24,19 +24,19 @@
 
 /// One reading. Times are since it began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Reading {
+pub struct ReadOperation {
     role: Role,
-    query: Query,
+    query: ReadQuery,
     /// The answer is held back for so long for a result to come.
-    hold: Duration,
+    long_poll: Duration,
     stage: Stage,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Asking(Confirmation),
-    Holding,
-    Writing { page: Page, position: EntryPosition, until: Duration },
+    Confirming(Confirmation),
+    AwaitingResults,
+    AwaitingDurability { page: Page, position: EntryPosition, deadline: Duration },
 }
 
 /// What a reading has come to.
@@ -50,20 +50,20 @@
     /// It was given up with its group, or never was.
     GivenUp,
     /// Another store may know.
-    Unsure,
+    Unavailable,
 }
 
-impl Reading {
+impl ReadOperation {
     /// Begins a reading in that role; none if it does not answer readers.
-    pub fn new(role: Option<Role>, query: Query, hold: Duration) -> Option<Self> {
-        let role = role.filter(Role::answers_reads)?;
-        Some(Self::as_tail(role, query, hold))
+    pub fn new(role: Option<Role>, query: ReadQuery, hold: Duration) -> Option<Self> {
+        let role = role.filter(Role::serves_reads)?;
+        Some(Self::new_unchecked(role, query, hold))
     }
 
     /// Begins a reading whatever the role.
-    pub fn as_tail(role: Role, query: Query, hold: Duration) -> Self {
-        let stage = Stage::Asking(Confirmation::new(&role));
-        Self { role, query, hold, stage }
+    pub fn new_unchecked(role: Role, query: ReadQuery, hold: Duration) -> Self {
+        let stage = Stage::Confirming(Confirmation::new(&role));
+        Self { role, query, long_poll: hold, stage }
     }
 
     /// The view that it is for.
@@ -72,55 +72,63 @@
     }
 
     /// The links whose word is needed.
-    pub fn links(&self) -> &[StoreNumber] {
+    pub fn confirming_links(&self) -> &[StoreNumber] {
         &self.role.others
     }
 
     /// A link's answer: how far it is in the view of this reading, or none if it is in another.
-    pub fn hear(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
-        if let Stage::Asking(confirmation) = &mut self.stage {
-            confirmation.hear(link, position);
+    pub fn record_answer(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
+        if let Stage::Confirming(confirmation) = &mut self.stage {
+            confirmation.record_answer(link, position);
         }
     }
 
     /// Looks at where it is. `epoch` is that of the newest view known here.
-    pub fn look(&mut self, replica: &mut Replica, epoch: u64, now: Duration) -> ReadStep {
+    pub fn poll(&mut self, replica: &mut Replica, epoch: u64, now: Duration) -> ReadStep {
         loop {
             if epoch != self.role.epoch {
-                return ReadStep::Unsure;
+                return ReadStep::Unavailable;
             }
             let next = match &self.stage {
-                Stage::Asking(confirmation) => match confirmation.outcome(replica) {
-                    Outcome::Certain => Stage::Holding,
-                    Outcome::Waits if now < CONFIRM_WITHIN => return ReadStep::Wait(CONFIRM_WITHIN),
-                    Outcome::Waits | Outcome::Refused => return ReadStep::Unsure,
+                Stage::Confirming(confirmation) => match confirmation.status(replica) {
+                    ConfirmationStatus::Confirmed => Stage::AwaitingResults,
+                    ConfirmationStatus::Pending if now < CONFIRM_TIMEOUT => {
+                        return ReadStep::Wait(CONFIRM_TIMEOUT)
+                    }
+                    ConfirmationStatus::Pending | ConfirmationStatus::Rejected => {
+                        return ReadStep::Unavailable
+                    }
                 },
-                Stage::Holding => match self.page(replica) {
+                Stage::AwaitingResults => match self.page(replica) {
                     Err(missing) => return missing,
-                    Ok(page) if page.results.is_empty() && !page.complete && now < self.hold => {
-                        return ReadStep::Wait(self.hold);
-                    }
-                    Ok(page) => {
-                        Stage::Writing { page, position: replica.position(), until: now + ON_DISK_WITHIN }
+                    Ok(page) if page.results.is_empty() && !page.complete && now < self.long_poll => {
+                        return ReadStep::Wait(self.long_poll);
                     }
+                    Ok(page) => Stage::AwaitingDurability {
+                        page,
+                        position: replica.position(),
+                        deadline: now + DURABILITY_TIMEOUT,
+                    },
                 },
-                Stage::Writing { page, position, until } => match replica.has_on_disk(*position) {
-                    true => {
-                        if !page.results.is_empty() {
-                            replica.mark_shown(*position);
+                Stage::AwaitingDurability { page, position, deadline: until } => {
+                    match replica.is_durable(*position) {
+                        true => {
+                            if !page.results.is_empty() {
+                                replica.mark_read(*position);
+                            }
+                            return ReadStep::Page(page.clone(), *position);
                         }
-                        return ReadStep::Page(page.clone(), *position);
+                        false if now < *until => return ReadStep::Wait(*until),
+                        false => return ReadStep::Unavailable,
                     }
-                    false if now < *until => return ReadStep::Wait(*until),
-                    false => return ReadStep::Unsure,
-                },
+                }
             };
             self.stage = next;
         }
     }
 
     fn page(&self, replica: &Replica) -> Result<Page, ReadStep> {
-        let Query { tenant, job, start } = &self.query;
+        let ReadQuery { tenant, job, start } = &self.query;
         let state = replica.state();
         match state.page(tenant, job, *start) {
             Some(page) => Ok(page),
--- a/crates/replication/src/repair.rs
+++ b/crates/replication/src/repair.rs
@@ -3,7 +3,7 @@
 
 use fennelgauge_coordination::GroupNumber;
 
-use crate::{EntryBatch, EntryPosition, GroupCopy, Missing, Replica, Role};
+use crate::{CatchUp, EntryBatch, EntryPosition, GroupSnapshot, Replica, Role};
 
 /// One attempt, in one view. It is given up at any failure; the next one begins anew.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,7 +19,7 @@
     Asking,
     /// What it lacks waits for this disk.
     WritingEntries(EntryBatch),
-    WritingCopy(GroupCopy),
+    WritingCopy(GroupSnapshot),
     /// A copy is on its way.
     Installing(EntryPosition),
     /// The successor is told where the chain stands.
@@ -31,10 +31,10 @@
 pub enum RepairStep {
     /// Something has to change here first.
     Wait,
-    Install(GroupCopy),
+    Install(GroupSnapshot),
     Append(EntryBatch),
     /// All links have what is here up to that place, in the view of that role.
-    Reached(Role, EntryPosition),
+    Replicated(Role, EntryPosition),
     /// To be begun anew.
     Failed,
 }
@@ -46,17 +46,17 @@
     }
 
     /// The successor's place, or none if it is in another view or silent.
-    pub fn heard_position(&mut self, replica: &Replica, theirs: Option<EntryPosition>) -> RepairStep {
+    pub fn on_position(&mut self, replica: &Replica, theirs: Option<EntryPosition>) -> RepairStep {
         let (Stage::Asking, Some(theirs)) = (&self.stage, theirs) else { return RepairStep::Failed };
-        self.stage = match replica.missing_at(self.group, theirs) {
-            Missing::Entries(batch) => Stage::WritingEntries(batch),
-            Missing::Copy => Stage::WritingCopy(replica.copy()),
+        self.stage = match replica.catch_up_from(self.group, theirs) {
+            CatchUp::Entries(batch) => Stage::WritingEntries(batch),
+            CatchUp::Snapshot => Stage::WritingCopy(replica.snapshot()),
         };
         RepairStep::Wait
     }
 
     /// Something has changed here: perhaps what the successor lacks is on this disk. `role` is the present one.
-    pub fn look(&mut self, replica: &Replica, role: Option<&Role>) -> RepairStep {
+    pub fn poll(&mut self, replica: &Replica, role: Option<&Role>) -> RepairStep {
         let end = match &self.stage {
             Stage::WritingEntries(batch) => batch.end,
             Stage::WritingCopy(copy) => copy.position,
@@ -65,7 +65,7 @@
         if !replica.contains(end) {
             return RepairStep::Failed;
         }
-        if !replica.has_on_disk(end) {
+        if !replica.is_durable(end) {
             return RepairStep::Wait;
         }
         let Some(role) = role.filter(|role| role.epoch == self.epoch) else { return RepairStep::Failed };
@@ -83,12 +83,12 @@
     }
 
     /// Whether what the successor lacks is not on this disk yet.
-    pub fn waits_for_disk(&self) -> bool {
+    pub fn awaits_durability(&self) -> bool {
         matches!(self.stage, Stage::WritingEntries(_) | Stage::WritingCopy(_))
     }
 
     /// Whether the successor has the copy on its disk. `role` is the present one.
-    pub fn heard_installed(&mut self, role: Option<&Role>, installed: bool) -> RepairStep {
+    pub fn on_installed(&mut self, role: Option<&Role>, installed: bool) -> RepairStep {
         let Stage::Installing(end) = self.stage else { return RepairStep::Failed };
         let Some(role) = role.filter(|role| installed && role.epoch == self.epoch) else {
             return RepairStep::Failed;
@@ -98,9 +98,9 @@
     }
 
     /// Whether the successor, and every link after it, is level with all that was sent.
-    pub fn heard_appended(&mut self, reached: bool) -> RepairStep {
+    pub fn on_appended(&mut self, reached: bool) -> RepairStep {
         match std::mem::replace(&mut self.stage, Stage::Asking) {
-            Stage::Telling(end, role) if reached => RepairStep::Reached(role, end),
+            Stage::Telling(end, role) if reached => RepairStep::Replicated(role, end),
             _ => RepairStep::Failed,
         }
     }
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -7,13 +7,13 @@
 pub struct Role {
     pub epoch: u64,
     /// The view in which the group was begun anew; 0 where it never was.
-    pub begun_in: u64,
+    pub incarnation: u64,
     /// Batch jobs that were given up then.
-    pub given_up: Vec<String>,
+    pub given_up_jobs: Vec<String>,
     /// Being level in this view or a later one is being level now.
-    pub level_since: u64,
+    pub caught_up_since: u64,
     /// The same, of the successor.
-    pub successor_level_since: Option<u64>,
+    pub successor_caught_up_since: Option<u64>,
     /// Whether enough links hold the group for it to be changed and read.
     pub is_open: bool,
     /// Where it has not told yet that it has everything: since which view it is a link.
@@ -31,10 +31,10 @@
         let place = held.chain.iter().position(|link| *link == store)?;
         Some(Self {
             epoch: view.epoch,
-            begun_in: held.incarnation,
-            given_up: held.given_up_jobs.clone(),
-            level_since: held.unchanged_since(store)?,
-            successor_level_since: held.unchanged_since.get(place + 1).copied(),
+            incarnation: held.incarnation,
+            given_up_jobs: held.given_up_jobs.clone(),
+            caught_up_since: held.unchanged_since(store)?,
+            successor_caught_up_since: held.unchanged_since.get(place + 1).copied(),
             is_open: held.is_open(),
             joining_since: held.joining_since(store),
             predecessor: place.checked_sub(1).and_then(|before| held.chain.get(before)).copied(),
@@ -52,12 +52,12 @@
     }
 
     /// Whether this store may take changes of the group.
-    pub fn takes_changes(&self) -> bool {
+    pub fn accepts_writes(&self) -> bool {
         self.is_head() && self.is_open
     }
 
     /// Whether this store may answer reads of the group, once it is level and the others have confirmed the view.
-    pub fn answers_reads(&self) -> bool {
+    pub fn serves_reads(&self) -> bool {
         self.is_tail() && self.is_open
     }
 }
--- a/crates/simulation/src/stores/answering.rs
+++ b/crates/simulation/src/stores/answering.rs
@@ -5,7 +5,9 @@
 
 use fennelgauge_batch::Command;
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{Ending, EntryPosition, Missing, Query, Reading, Submission};
+use fennelgauge_replication::{
+    CatchUp, EndDecision, EntryPosition, ReadOperation, ReadQuery, SubmissionDecision,
+};
 
 use super::disk::Record;
 use super::moment::Moment;
@@ -28,12 +30,12 @@
                 let group = batch.group;
                 let role = self.role(group);
                 let predecessor = role.as_ref().and_then(|role| role.predecessor);
-                let followed = self.replica(group).append(role.as_ref(), &batch);
-                if !followed.taken.is_empty() {
+                let followed = self.replica(group).append_as_link(role.as_ref(), &batch);
+                if !followed.appended.is_empty() {
                     step.at(Moment::BatchTaken, group, predecessor);
                 }
-                let write = self.write(followed.taken.into_iter().map(Record::Entry).collect(), step);
-                if !followed.is_level {
+                let write = self.write(followed.appended.into_iter().map(Record::Entry).collect(), step);
+                if !followed.is_caught_up {
                     return Some(Answer::Appended { reached: false });
                 }
                 if batch.entries.is_empty() {
@@ -44,12 +46,12 @@
             }
             Ask::Position { group, .. } => {
                 let role = self.role(group);
-                let position = self.replica(group).position_as(role.as_ref());
+                let position = self.replica(group).position_in_role(role.as_ref());
                 Some(position.map_or(Answer::OtherEpoch, Answer::Position))
             }
             Ask::Install { group, copy, .. } => {
                 let role = self.role(group);
-                let installed = self.replica(group).install_as_link(role.as_ref(), &copy);
+                let installed = self.replica(group).install_snapshot_as_link(role.as_ref(), &copy);
                 let end = copy.position;
                 let Some(write) = self.write_installed(installed, group, copy, step) else {
                     return Some(Answer::Unsure);
@@ -64,26 +66,26 @@
             }
             Ask::Submit { group, job, most_queued, .. } => {
                 let role = self.changing_role(group);
-                let entry = match self.replica(group).submission(role.as_ref(), &job, most_queued) {
-                    Submission::NotTaken => return Some(Answer::NotTaken),
-                    Submission::OverQuota => return Some(Answer::OverQuota),
-                    Submission::GivenUp => return Some(Answer::GivenUp),
-                    Submission::Known(entry) => entry,
-                    Submission::New => self.change(group, Command::Accept(job), step),
+                let entry = match self.replica(group).decide_submission(role.as_ref(), &job, most_queued) {
+                    SubmissionDecision::NotWritable => return Some(Answer::NotTaken),
+                    SubmissionDecision::OverQuota => return Some(Answer::OverQuota),
+                    SubmissionDecision::GivenUp => return Some(Answer::GivenUp),
+                    SubmissionDecision::AlreadyAccepted(entry) => entry,
+                    SubmissionDecision::Accept => self.change(group, Command::Accept(job), step),
                 };
                 self.wait_for_commit(group, entry, call, step);
                 None
             }
             Ask::End { group, tenant, job, .. } => {
                 let role = self.changing_role(group);
-                let entry = match self.replica(group).ending(role.as_ref(), &tenant, &job) {
-                    Ending::NotTaken => return Some(Answer::NotTaken),
-                    Ending::NotHere if self.replica(group).state().may_be_given_up(&job) => {
+                let entry = match self.replica(group).decide_end(role.as_ref(), &tenant, &job) {
+                    EndDecision::NotWritable => return Some(Answer::NotTaken),
+                    EndDecision::NotFound if self.replica(group).state().may_be_given_up(&job) => {
                         return Some(Answer::GivenUp);
                     }
-                    Ending::NotHere => return Some(Answer::Unsure),
-                    Ending::Known(entry) => entry,
-                    Ending::New => {
+                    EndDecision::NotFound => return Some(Answer::Unsure),
+                    EndDecision::AlreadyEnded(entry) => entry,
+                    EndDecision::End => {
                         self.stop_items(&job);
                         self.change(group, Command::End { job }, step)
                     }
@@ -92,7 +94,7 @@
                 None
             }
             Ask::Read { group, tenant, job, start, .. } => {
-                self.begin_reading(group, Query { tenant, job, start }, call, step)
+                self.begin_reading(group, ReadQuery { tenant, job, start }, call, step)
             }
         }
     }
@@ -107,14 +109,14 @@
         let role = self.role(group);
         let learner = self.view.group(group).and_then(|held| held.learner).map(|learner| learner.store);
         let replica = self.replica(group);
-        let Some(missing) = replica.missing_for_learner(role.as_ref(), group, after) else {
+        let Some(missing) = replica.catch_up_for_learner(role.as_ref(), group, after) else {
             return Some(Answer::OtherEpoch);
         };
         let (end, answer) = match missing {
-            Missing::Entries(batch) => (batch.end, Fetched::Entries(batch)),
-            Missing::Copy => {
+            CatchUp::Entries(batch) => (batch.end, Fetched::Entries(batch)),
+            CatchUp::Snapshot => {
                 step.at(Moment::CopySent, group, learner);
-                (replica.position(), Fetched::Copy(replica.copy()))
+                (replica.position(), Fetched::Copy(replica.snapshot()))
             }
         };
         let until = step.now + SYNC_TIMEOUT;
@@ -126,26 +128,26 @@
     fn begin_reading(
         &mut self,
         group: GroupNumber,
-        query: Query,
+        query: ReadQuery,
         call: Call,
         step: &mut Step,
     ) -> Option<Answer> {
         let role = self.role(group);
         let reading = match self.plant {
-            Some(StorePlant::AnyLinkAnswers) => {
-                role.filter(|role| role.is_open).map(|role| Reading::as_tail(role, query, READ_HOLD))
-            }
-            Some(StorePlant::AnswersWhileClosed) => {
-                role.filter(|role| role.is_tail()).map(|role| Reading::as_tail(role, query, READ_HOLD))
-            }
-            _ => Reading::new(role, query, READ_HOLD),
+            Some(StorePlant::AnyLinkAnswers) => role
+                .filter(|role| role.is_open)
+                .map(|role| ReadOperation::new_unchecked(role, query, READ_HOLD)),
+            Some(StorePlant::AnswersWhileClosed) => role
+                .filter(|role| role.is_tail())
+                .map(|role| ReadOperation::new_unchecked(role, query, READ_HOLD)),
+            _ => ReadOperation::new(role, query, READ_HOLD),
         };
         let Some(mut reading) = reading else { return Some(Answer::Unsure) };
         let (task, epoch) = (self.reserve(), self.view.epoch);
         let mut calls = BTreeMap::new();
-        for link in reading.links().to_vec() {
+        for link in reading.confirming_links().to_vec() {
             if self.has(StorePlant::AnswersWithoutAsking) {
-                reading.hear(link, Some(EntryPosition::default()));
+                reading.record_answer(link, Some(EntryPosition::default()));
                 continue;
             }
             calls.insert(self.send(task, link, Ask::Position { epoch, group }, step), link);
--- a/crates/simulation/src/stores/continuing.rs
+++ b/crates/simulation/src/stores/continuing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::StoreNumber;
-use fennelgauge_replication::{EntryPosition, Fate, Outcome, ReadStep, Repair, RepairStep};
+use fennelgauge_replication::{ConfirmationStatus, EntryPosition, EntryStatus, ReadStep, Repair, RepairStep};
 
 use super::answering::SYNC_TIMEOUT;
 use super::disk::Record;
@@ -41,13 +41,13 @@
                 let stage = match answer? {
                     Answer::Entries(batch) => {
                         let lacked = batch.entries.len();
-                        let taken = self.replica(group).learn(epoch, &batch);
+                        let taken = self.replica(group).append_as_learner(epoch, &batch);
                         let write = self.write(taken.into_iter().map(Record::Entry).collect(), step);
                         Learning::WritingEntries { write, end: batch.end, lacked }
                     }
                     Answer::Copy(copy) => {
                         let end = copy.position;
-                        let installed = self.replica(group).install(epoch, &copy);
+                        let installed = self.replica(group).install_snapshot(epoch, &copy);
                         let write = self.write_installed(installed, group, copy, step)?;
                         Learning::WritingCopy { write, end }
                     }
@@ -57,13 +57,13 @@
             }
             Task::Hold { epoch, group, mut questions } => {
                 if let Some(link) = questions.calls.remove(&call) {
-                    questions.confirmation.hear(link, position(answer));
+                    questions.confirmation.record_answer(link, position(answer));
                 }
                 Some(Task::Hold { epoch, group, questions })
             }
             Task::Read { mut reading, mut calls, group, began, wakes_at, answer_to } => {
                 if let Some(link) = calls.remove(&call) {
-                    reading.hear(link, position(answer));
+                    reading.record_answer(link, position(answer));
                 }
                 Some(Task::Read { reading, calls, group, began, wakes_at, answer_to })
             }
@@ -82,9 +82,9 @@
     ) -> Option<Task> {
         let role = self.role(repair.group);
         let next = match answer {
-            Some(Answer::Position(theirs)) => repair.heard_position(self.replica(repair.group), Some(theirs)),
-            Some(Answer::Installed) => repair.heard_installed(role.as_ref(), true),
-            Some(Answer::Appended { reached }) => repair.heard_appended(reached),
+            Some(Answer::Position(theirs)) => repair.on_position(self.replica(repair.group), Some(theirs)),
+            Some(Answer::Installed) => repair.on_installed(role.as_ref(), true),
+            Some(Answer::Appended { reached }) => repair.on_appended(reached),
             _ => return None,
         };
         let until = until.unwrap_or(step.now + SYNC_TIMEOUT);
@@ -112,7 +112,7 @@
             RepairStep::Append(batch) => {
                 self.send(number, successor, Ask::Append { epoch, batch }, step);
             }
-            RepairStep::Reached(role, end) => {
+            RepairStep::Replicated(role, end) => {
                 self.mark_reached(&role, group, end);
                 self.checked.insert(group, epoch);
                 return None;
@@ -126,7 +126,7 @@
     pub(super) fn after_write(&mut self, number: u64, task: Task, step: &mut Step) -> Option<Task> {
         match task {
             Task::Replicate { epoch, batch, answer_to, .. } => {
-                self.replica(batch.group).mark_synced(batch.end);
+                self.replica(batch.group).mark_durable(batch.end);
                 if answer_to.is_none() {
                     let successor = self.role(batch.group).and_then(|role| role.successor);
                     step.at(Moment::BatchSynced, batch.group, successor);
@@ -134,14 +134,14 @@
                 self.pass_on(number, epoch, batch, answer_to, step)
             }
             Task::Install { group, end, answer_to, .. } => {
-                self.replica(group).mark_synced(end);
+                self.replica(group).mark_durable(end);
                 step.effects.push(Effect::Answer { call: answer_to, answer: Answer::Installed });
                 None
             }
             Task::Learn { epoch, group, stage: Learning::WritingEntries { end, lacked, .. } } => {
                 let replica = self.replica(group);
-                replica.mark_synced(end);
-                if replica.has_copied(end, lacked) && self.copied.insert(group, epoch).is_none() {
+                replica.mark_durable(end);
+                if replica.may_report_copied(end, lacked) && self.copied.insert(group, epoch).is_none() {
                     let head = self.view.head(group).map(|head| head.number);
                     step.at(Moment::Copied, group, head);
                 }
@@ -149,12 +149,12 @@
             }
             Task::Learn { group, stage: Learning::WritingCopy { end, .. }, .. }
             | Task::Begin { group, end, .. } => {
-                self.replica(group).mark_synced(end);
+                self.replica(group).mark_durable(end);
                 None
             }
             Task::WriteAll { ends, .. } => {
                 for (group, end) in ends {
-                    self.replica(group).mark_synced(end);
+                    self.replica(group).mark_durable(end);
                 }
                 None
             }
@@ -202,10 +202,10 @@
     fn tell_listed(&mut self, step: &mut Step) {
         let unlisted = std::mem::take(&mut self.unlisted);
         for (group, entry, item) in unlisted {
-            match self.replica(group).fate(entry) {
-                Fate::Committed => step.effects.push(Effect::Listed { item }),
-                Fate::InDoubt => self.unlisted.push((group, entry, item)),
-                Fate::Gone => {}
+            match self.replica(group).entry_status(entry) {
+                EntryStatus::Committed => step.effects.push(Effect::Listed { item }),
+                EntryStatus::Pending => self.unlisted.push((group, entry, item)),
+                EntryStatus::Discarded => {}
             }
         }
     }
@@ -216,8 +216,8 @@
         match task {
             Task::Repair { mut repair, successor, until: Some(until) } => {
                 let role = self.role(repair.group);
-                match repair.look(self.replica(repair.group), role.as_ref()) {
-                    RepairStep::Wait if now < until || !repair.waits_for_disk() => {
+                match repair.poll(self.replica(repair.group), role.as_ref()) {
+                    RepairStep::Wait if now < until || !repair.awaits_durability() => {
                         (Some(Task::Repair { repair, successor, until: Some(until) }), false)
                     }
                     RepairStep::Wait => (None, true),
@@ -225,7 +225,7 @@
                 }
             }
             Task::Fetch { group, end, answer, until, answer_to } => {
-                let answer = match (self.replica(group).has_on_disk(end), answer) {
+                let answer = match (self.replica(group).is_durable(end), answer) {
                     (true, Fetched::Entries(batch)) => Answer::Entries(batch),
                     (true, Fetched::Copy(copy)) => Answer::Copy(copy),
                     (false, answer) if now < until => {
@@ -238,25 +238,25 @@
             }
             Task::Hold { epoch, group, questions } => {
                 let is_now = self.epoch() == epoch;
-                match questions.confirmation.outcome(self.replica(group)) {
-                    Outcome::Certain if is_now => {
+                match questions.confirmation.status(self.replica(group)) {
+                    ConfirmationStatus::Confirmed if is_now => {
                         self.holds.insert(group, epoch);
                         step.at(Moment::Holds, group, None);
                         (None, true)
                     }
-                    Outcome::Waits if now < questions.until => {
+                    ConfirmationStatus::Pending if now < questions.until => {
                         (Some(Task::Hold { epoch, group, questions }), false)
                     }
                     _ => (None, true),
                 }
             }
             Task::Commit { group, entry, until, answer_to } => {
-                let answer = match self.replica(group).fate(entry) {
-                    Fate::Committed => Answer::Accepted,
-                    Fate::InDoubt if now < until => {
+                let answer = match self.replica(group).entry_status(entry) {
+                    EntryStatus::Committed => Answer::Accepted,
+                    EntryStatus::Pending if now < until => {
                         return (Some(Task::Commit { group, entry, until, answer_to }), false);
                     }
-                    Fate::InDoubt | Fate::Gone => Answer::Unknown,
+                    EntryStatus::Pending | EntryStatus::Discarded => Answer::Unknown,
                 };
                 step.effects.push(Effect::Answer { call: answer_to, answer });
                 (None, true)
@@ -276,7 +276,7 @@
             false => self.epoch(),
         };
         let since = Duration::from_micros(step.now.saturating_sub(began));
-        let answer = match reading.look(self.replica(group), epoch, since) {
+        let answer = match reading.poll(self.replica(group), epoch, since) {
             ReadStep::Wait(until) => {
                 let at = began + until.as_micros() as Micros;
                 if wakes_at != at {
@@ -293,7 +293,7 @@
             ReadStep::NotFound => Answer::NotFound,
             ReadStep::GivenUp if self.has(StorePlant::GivenUpIsUnknown) => Answer::NotFound,
             ReadStep::GivenUp => Answer::GivenUp,
-            ReadStep::Unsure => Answer::Unsure,
+            ReadStep::Unavailable => Answer::Unsure,
         };
         step.effects.push(Effect::Answer { call: answer_to, answer });
         (None, true)
--- a/crates/simulation/src/stores/disk.rs
+++ b/crates/simulation/src/stores/disk.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{Entry, GroupCopy};
+use fennelgauge_replication::{Entry, GroupSnapshot};
 
 use crate::chance::Chance;
 use crate::day::{Micros, MILLISECOND};
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Record {
     Entry(Entry),
-    Copy { group: GroupNumber, copy: GroupCopy },
+    Copy { group: GroupNumber, copy: GroupSnapshot },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/simulation/src/stores/items.rs
+++ b/crates/simulation/src/stores/items.rs
@@ -16,7 +16,7 @@
             let Some(replica) = self.replicas.get(&group).filter(|_| self.takes_changes(group)) else {
                 continue;
             };
-            if replica.knows_nothing_committed() {
+            if replica.commit_position_unknown() {
                 continue;
             }
             let entry = replica.position();
--- a/crates/simulation/src/stores/looking.rs
+++ b/crates/simulation/src/stores/looking.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{Care, Confirmation, EntryPosition, Repair, Replica, Role};
+use fennelgauge_replication::{Confirmation, EntryPosition, Repair, RepairUrgency, Replica, Role};
 
 use super::disk::Record;
 use super::moment::Moment;
@@ -57,7 +57,7 @@
 
     /// A head stands where its chain stands; a group that was given up it begins anew.
     fn lead(&mut self, role: &Role, group: GroupNumber, step: &mut Step) {
-        let Some(copy) = self.replica(group).lead(group, role) else { return };
+        let Some(copy) = self.replica(group).become_head(group, role) else { return };
         self.tasks.retain(|_, task| !matches!(task, Task::Run { group: of, .. } if *of == group));
         let end = copy.position;
         let write = self.write(vec![Record::Copy { group, copy }], step);
@@ -95,14 +95,14 @@
     fn look_at_successor(&mut self, role: &Role, group: GroupNumber, step: &mut Step) {
         let Some(successor) = role.successor else { return };
         let Some(replica) = self.replicas.get(&group) else { return };
-        let care = replica.care(role, self.checked.get(&group).copied());
-        if care == Care::Needless {
+        let care = replica.repair_urgency(role, self.checked.get(&group).copied());
+        if care == RepairUrgency::NotNeeded {
             self.doubtful.remove(&group);
             return;
         }
         let since = *self.doubtful.entry(group).or_insert(step.now);
         let busy = self.is_busy(|task| matches!(task, Task::Repair { repair, .. } if repair.group == group));
-        if busy || !(care == Care::Now || step.now > since + REPAIR_PATIENCE) {
+        if busy || !(care == RepairUrgency::Immediate || step.now > since + REPAIR_PATIENCE) {
             return;
         }
         let task = self.reserve();
@@ -112,7 +112,7 @@
     }
 
     fn look_at_own_level(&mut self, role: &Role, group: GroupNumber, step: &mut Step) {
-        let is_level = self.replicas.get(&group).is_some_and(|replica| replica.is_level(role));
+        let is_level = self.replicas.get(&group).is_some_and(|replica| replica.is_caught_up(role));
         match (is_level, role.predecessor) {
             (false, Some(predecessor)) => {
                 let since = *self.behind.entry(group).or_insert(step.now);
@@ -141,7 +141,7 @@
         let mut calls = BTreeMap::new();
         for link in &role.others {
             if self.has(StorePlant::AnswersWithoutAsking) {
-                confirmation.hear(*link, Some(EntryPosition::default()));
+                confirmation.record_answer(*link, Some(EntryPosition::default()));
                 continue;
             }
             let call = self.send(task, *link, Ask::Position { epoch: role.epoch, group }, step);
@@ -160,7 +160,8 @@
         }
         self.disk_tried = step.now;
         let kept = self.replicas.iter().filter(|(_, replica)| replica.position().sequence > 0);
-        let whole: Vec<(GroupNumber, _)> = kept.map(|(group, replica)| (*group, replica.copy())).collect();
+        let whole: Vec<(GroupNumber, _)> =
+            kept.map(|(group, replica)| (*group, replica.snapshot())).collect();
         let ends = whole.iter().map(|(group, copy)| (*group, copy.position)).collect();
         let records = whole.into_iter().map(|(group, copy)| Record::Copy { group, copy }).collect();
         let (write, at) = self.disk.write_whole(step.now, records, step.chance);
--- a/crates/simulation/src/stores/protocol.rs
+++ b/crates/simulation/src/stores/protocol.rs
@@ -2,7 +2,7 @@
 
 use fennelgauge_batch::{Job, Page};
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
+use fennelgauge_replication::{EntryBatch, EntryPosition, GroupSnapshot};
 
 /// Whoever waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,7 +22,7 @@
 pub enum Ask {
     Append { epoch: u64, batch: EntryBatch },
     Position { epoch: u64, group: GroupNumber },
-    Install { epoch: u64, group: GroupNumber, copy: GroupCopy },
+    Install { epoch: u64, group: GroupNumber, copy: GroupSnapshot },
     Fetch { epoch: u64, group: GroupNumber, after: EntryPosition },
     Check { epoch: u64, group: GroupNumber },
     Submit { epoch: u64, group: GroupNumber, job: Job, most_queued: u64 },
@@ -55,7 +55,7 @@
     OtherEpoch,
     Installed,
     Entries(EntryBatch),
-    Copy(GroupCopy),
+    Copy(GroupSnapshot),
     Accepted,
     OverQuota,
     /// Certainly not taken.
--- a/crates/simulation/src/stores/sending.rs
+++ b/crates/simulation/src/stores/sending.rs
@@ -4,7 +4,9 @@
 
 use fennelgauge_batch::Command;
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{Entry, EntryBatch, EntryPosition, GroupCopy, Installed, Onward, Role};
+use fennelgauge_replication::{
+    Entry, EntryBatch, EntryPosition, ForwardTarget, GroupSnapshot, InstallResult, Role,
+};
 
 use super::disk::Record;
 use super::moment::Moment;
@@ -20,7 +22,7 @@
     /// Makes a change as the head.
     pub(super) fn change(&mut self, group: GroupNumber, command: Command, step: &mut Step) -> EntryPosition {
         let epoch = self.view.epoch;
-        let entry = self.replica(group).create(group, epoch, command);
+        let entry = self.replica(group).create_entry(group, epoch, command);
         let position = entry.position;
         self.pending.push(entry);
         if !std::mem::replace(&mut self.flush_due, true) {
@@ -54,7 +56,7 @@
         }
         let batches: Vec<EntryBatch> = groups
             .into_iter()
-            .filter_map(|(group, entries)| self.replicas.get(&group)?.batch_of(group, entries))
+            .filter_map(|(group, entries)| self.replicas.get(&group)?.batch_from(group, entries))
             .collect();
         let records = batches.iter().flat_map(|batch| &batch.entries).cloned().map(Record::Entry).collect();
         let write = self.write(records, step);
@@ -80,7 +82,7 @@
             }
         }
         if self.has(StorePlant::PassesOnUnsynced) {
-            self.replica(batch.group).mark_synced(batch.end);
+            self.replica(batch.group).mark_durable(batch.end);
             let task = self.reserve();
             if let Some(next) = self.pass_on(task, epoch, batch, answer_to, step) {
                 self.tasks.insert(task, next);
@@ -102,11 +104,11 @@
         let (group, end) = (batch.group, batch.end);
         let role = self.role(group).filter(|_| self.epoch() == epoch);
         let onward = match &role {
-            Some(role) => self.replica(group).onward(role, end),
-            None => Onward::Nowhere,
+            Some(role) => self.replica(group).forward_target(role, end),
+            None => ForwardTarget::Blocked,
         };
         let reached = match (onward, role) {
-            (Onward::To(successor), Some(role)) => {
+            (ForwardTarget::Successor(successor), Some(role)) => {
                 self.send(number, successor, Ask::Append { epoch, batch: batch.clone() }, step);
                 return Some(Task::Replicate {
                     epoch,
@@ -115,7 +117,7 @@
                     answer_to,
                 });
             }
-            (Onward::Everywhere, Some(role)) => {
+            (ForwardTarget::EndOfChain, Some(role)) => {
                 self.mark_reached(&role, group, end);
                 true
             }
@@ -132,18 +134,18 @@
         let now_open = self.role(group).is_some_and(|now| now.is_open);
         role.is_open |= self.has(StorePlant::ChangesWhileClosed);
         role.is_open |= self.has(StorePlant::OpenByLaterView) && now_open;
-        self.replica(group).mark_reached(&role, end);
+        self.replica(group).mark_replicated(&role, end);
     }
 
     /// A copy was installed, or not; the write that holds it.
     pub(super) fn write_installed(
         &mut self,
-        installed: Installed,
+        installed: InstallResult,
         group: GroupNumber,
-        copy: GroupCopy,
+        copy: GroupSnapshot,
         step: &mut Step,
     ) -> Option<u64> {
-        let Installed::Yes { drops_shown } = installed else { return None };
+        let InstallResult::Installed { lost_read: drops_shown } = installed else { return None };
         if let Some(shown) = drops_shown {
             let what = format!("s{}: a copy up to {:?} drops {shown:?}", self.place, copy.position);
             step.effects.push(Effect::DropsShown { what });
--- a/crates/simulation/src/stores/store.rs
+++ b/crates/simulation/src/stores/store.rs
@@ -219,18 +219,18 @@
             match record {
                 Record::Entry(entry) => {
                     if let Some(replica) = self.replicas.get_mut(&entry.group) {
-                        replica.restore(entry);
+                        replica.restore_entry(entry);
                     }
                 }
                 Record::Copy { group, copy } => {
                     if let Some(replica) = self.replicas.get_mut(group) {
-                        replica.restore_copy(copy);
+                        replica.restore_snapshot(copy);
                     }
                 }
             }
         }
         for replica in self.replicas.values_mut() {
-            replica.mark_synced(replica.position());
+            replica.mark_durable(replica.position());
         }
         if !self.has(StorePlant::GoesBack) {
             self.earliest_view = self.replicas.values().map(Replica::newest_epoch).max().unwrap_or(0);
@@ -328,7 +328,7 @@
 
     pub(super) fn takes_changes(&self, group: GroupNumber) -> bool {
         let role = self.changing_role(group);
-        self.replicas.get(&group).is_some_and(|replica| replica.takes_changes(role.as_ref()))
+        self.replicas.get(&group).is_some_and(|replica| replica.accepts_writes(role.as_ref()))
     }
 
     fn place_of(&self, store: StoreNumber) -> Option<usize> {
--- a/crates/simulation/src/stores/task.rs
+++ b/crates/simulation/src/stores/task.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use fennelgauge_coordination::{GroupNumber, StoreNumber};
-use fennelgauge_replication::{Confirmation, EntryBatch, EntryPosition, GroupCopy, Reading, Repair, Role};
+use fennelgauge_replication::{
+    Confirmation, EntryBatch, EntryPosition, GroupSnapshot, ReadOperation, Repair, Role,
+};
 
 use super::protocol::Call;
 use crate::day::Micros;
@@ -39,7 +41,7 @@
     /// A client waits for an entry to be committed.
     Commit { group: GroupNumber, entry: EntryPosition, until: Micros, answer_to: Call },
     Read {
-        reading: Box<Reading>,
+        reading: Box<ReadOperation>,
         /// Questions that are out, with the link that each went to.
         calls: BTreeMap<u64, StoreNumber>,
         group: GroupNumber,
@@ -70,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Fetched {
     Entries(EntryBatch),
-    Copy(GroupCopy),
+    Copy(GroupSnapshot),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use calls::{CallError, Caller, Sent};
 pub use fennelgauge_encoding::{decode, encode};
-pub use fennelgauge_replication::{Entry, EntryBatch, EntryPosition, GroupCopy};
+pub use fennelgauge_replication::{Entry, EntryBatch, EntryPosition, GroupSnapshot};
 pub use frame::FrameError;
 pub use messages::*;
 pub use server::serve;
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -8,7 +8,7 @@
     View,
 };
 use fennelgauge_model::ServerList;
-use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
+use fennelgauge_replication::{EntryBatch, EntryPosition, GroupSnapshot};
 use fennelgauge_sharing::{Report, Sums};
 
 /// A message with the number of its call.
@@ -290,7 +290,7 @@
     Install {
         epoch: u64,
         group: GroupNumber,
-        copy: GroupCopy,
+        copy: GroupSnapshot,
     },
     /// What the store has done since it began.
     Costs,
@@ -338,6 +338,6 @@
     /// The copy is on the disk.
     Installed,
     Entries(EntryBatch),
-    Copy(GroupCopy),
+    Copy(GroupSnapshot),
     Costs(StoreCosts),
 }
