--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -62,7 +62,7 @@
                 let next = planner.give_up(view, order, &seen, names, MIN_SILENCE_BEFORE_GIVE_UP);
                 let next = next.map_err(NotNow::Refused)?;
                 let at_ms = wall_clock().as_millis() as u64;
-                let given_up = GiveUpRecord { order: order.clone(), incarnation: next.epoch, at_ms };
+                let given_up = GiveUpRecord { order: order.clone(), recreated_in_epoch: next.epoch, at_ms };
                 Ok(StateChange::GiveUp { given_up, stores: next })
             })
             .await;
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -114,12 +114,8 @@
             heard: silent_for.is_none(),
             silent_s: silent_for.map_or(0, |silent_for| silent_for.as_secs()),
         };
-        let given_up = |GiveUpRecord { order, incarnation: begun_in, at_ms }: GiveUpRecord| GivenUpBody {
-            view: order.epoch,
-            begun_in,
-            holders: order.holders,
-            forced: order.forced,
-            at_ms,
+        let given_up = |GiveUpRecord { order, recreated_in_epoch: begun_in, at_ms }: GiveUpRecord| {
+            GivenUpBody { view: order.epoch, begun_in, holders: order.holders, forced: order.forced, at_ms }
         };
         Self {
             group: report.group,
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -133,7 +133,7 @@
                 }
                 ReadStep::NotFound => return StoreReply::NotFound,
                 ReadStep::GivenUp => return StoreReply::GivenUp,
-                ReadStep::Unavailable => return StoreReply::Unsure,
+                ReadStep::Undetermined => return StoreReply::Unsure,
             }
         }
     }
--- a/crates/coordination/src/giving_up.rs
+++ b/crates/coordination/src/giving_up.rs
@@ -44,7 +44,7 @@
 pub struct GiveUpRecord {
     pub order: GiveUpRequest,
     /// The view in which the group was begun anew.
-    pub incarnation: u64,
+    pub recreated_in_epoch: u64,
     /// Milliseconds since 1970, on the clock of the head of the core.
     pub at_ms: u64,
 }
@@ -110,7 +110,7 @@
         }
         let mut next = view.clone();
         next.epoch += 1;
-        let mut begun = Group { incarnation: next.epoch, given_up_jobs: names, ..Group::default() };
+        let mut begun = Group { recreated_in_epoch: next.epoch, given_up_jobs: names, ..Group::default() };
         begun.given_up_jobs.extend(before.given_up_jobs.iter().cloned());
         let wanted = self.target_chain_length(view);
         while begun.chain.len() < wanted {
@@ -122,7 +122,7 @@
             return Err(GiveUpError::TooFewStores { heard, needed });
         }
         begun.update_unchanged_since(&Group::default(), next.epoch);
-        debug_assert!(before.incarnation < begun.incarnation);
+        debug_assert!(before.recreated_in_epoch < begun.recreated_in_epoch);
         next.groups[usize::from(order.group.0)] = begun;
         self.remove_unused_stores(&mut next);
         Ok(next)
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -28,7 +28,7 @@
 
 /// Works out the next placement from what is known of the stores.
 pub struct Planner<'a> {
-    max_failures: usize,
+    tolerated_failures: usize,
     reports: &'a [StoreReport],
     may_bootstrap: bool,
     planted: Option<PlannerBug>,
@@ -37,7 +37,7 @@
 impl<'a> Planner<'a> {
     /// `losses` at once must be outlived by each chain; the first placement is made with the stores that are there if it `may_begin`.
     pub fn new(losses: usize, heard: &'a [StoreReport], may_begin: bool) -> Self {
-        Self { max_failures: losses, reports: heard, may_bootstrap: may_begin, planted: None }
+        Self { tolerated_failures: losses, reports: heard, may_bootstrap: may_begin, planted: None }
     }
 
     /// Plants a mistake, to see that it is found.
@@ -84,15 +84,15 @@
     /// Holders without which a group is closed.
     pub(crate) fn min_holders(&self) -> usize {
         match self.has(PlannerBug::OneHolderFewer) {
-            true => self.max_failures.max(1),
-            false => self.max_failures + 1,
+            true => self.tolerated_failures.max(1),
+            false => self.tolerated_failures + 1,
         }
     }
 
     /// Links that a chain should have: one more than must be kept, so that a loss needs no copying at once.
     pub(crate) fn target_chain_length(&self, view: &StoreView) -> usize {
         let usable = view.stores.iter().filter(|store| self.is_usable(store)).count();
-        (self.max_failures + 2).min(usable.max(self.min_holders()))
+        (self.tolerated_failures + 2).min(usable.max(self.min_holders()))
     }
 
     pub(crate) fn has(&self, bug: PlannerBug) -> bool {
--- a/crates/coordination/src/stores.rs
+++ b/crates/coordination/src/stores.rs
@@ -63,7 +63,7 @@
     /// Copies the group before it joins the chain's end.
     pub learner: Option<Assignment>,
     /// The view in which the group was begun anew, with nothing of what it held before; 0 where it never was.
-    pub incarnation: u64,
+    pub recreated_in_epoch: u64,
     /// Batch jobs that were given up then, as far as their names are known.
     pub given_up_jobs: Vec<String>,
 }
@@ -92,7 +92,7 @@
         self.chain != before.chain
             || self.absent != before.absent
             || self.learner != before.learner
-            || self.incarnation != before.incarnation
+            || self.recreated_in_epoch != before.recreated_in_epoch
     }
 
     /// Whether enough links hold the group for it to be changed and read.
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -72,22 +72,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ViewRules {
     /// Losses of disks at once that must be outlived.
-    pub max_failures: usize,
+    pub tolerated_failures: usize,
 }
 
 impl ViewRules {
     pub fn tolerating(losses: usize) -> Self {
-        Self { max_failures: losses }
+        Self { tolerated_failures: losses }
     }
 
     /// Voters that a view should have.
     pub fn voter_count(&self) -> usize {
-        (2 * self.max_failures + 1).max(3)
+        (2 * self.tolerated_failures + 1).max(3)
     }
 
     /// Links without which a chain takes no writes: more than may be lost, and enough to meet every majority of the voters.
     pub fn min_chain_length(&self, voters: usize) -> usize {
-        (self.max_failures + 1).max(voters - voters / 2)
+        (self.tolerated_failures + 1).max(voters - voters / 2)
     }
 }
 
--- a/crates/coordination/tests/giving_up.rs
+++ b/crates/coordination/tests/giving_up.rs
@@ -110,7 +110,7 @@
     assert_eq!(next.epoch, view.epoch + 1);
     let group = next.group(GROUP).expect("there");
     assert!(group.is_open() && group.joining.is_empty() && group.learner.is_none());
-    assert_eq!((group.incarnation, &group.given_up_jobs), (next.epoch, &names));
+    assert_eq!((group.recreated_in_epoch, &group.given_up_jobs), (next.epoch, &names));
     assert!(group.unchanged_since.iter().all(|since| *since == next.epoch), "nobody is level from before");
     let nodes: Vec<String> = stores.iter().map(|heard| heard.member.identity.node.clone()).collect();
     assert!(holders(&next).iter().all(|node| nodes.contains(node)));
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -41,7 +41,7 @@
 impl Replica {
     /// Whether this store, in that role, may change the group.
     pub fn accepts_writes(&self, role: Option<&Role>) -> bool {
-        role.is_some_and(|role| role.accepts_writes() && self.is_current_incarnation(role))
+        role.is_some_and(|role| role.accepts_writes() && self.reflects_recreation(role))
     }
 
     /// What to do about a batch job that is submitted.
--- a/crates/replication/src/reading.rs
+++ b/crates/replication/src/reading.rs
@@ -50,7 +50,7 @@
     /// It was given up with its group, or never was.
     GivenUp,
     /// Another store may know.
-    Unavailable,
+    Undetermined,
 }
 
 impl ReadOperation {
@@ -87,7 +87,7 @@
     pub fn poll(&mut self, replica: &mut Replica, epoch: u64, now: Duration) -> ReadStep {
         loop {
             if epoch != self.role.epoch {
-                return ReadStep::Unavailable;
+                return ReadStep::Undetermined;
             }
             let next = match &self.stage {
                 Stage::Confirming(confirmation) => match confirmation.status(replica) {
@@ -96,7 +96,7 @@
                         return ReadStep::Wait(CONFIRM_TIMEOUT)
                     }
                     ConfirmationStatus::Pending | ConfirmationStatus::Rejected => {
-                        return ReadStep::Unavailable
+                        return ReadStep::Undetermined
                     }
                 },
                 Stage::AwaitingResults => match self.page(replica) {
@@ -119,7 +119,7 @@
                             return ReadStep::Page(page.clone(), *position);
                         }
                         false if now < *until => return ReadStep::Wait(*until),
-                        false => return ReadStep::Unavailable,
+                        false => return ReadStep::Undetermined,
                     }
                 }
             };
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -126,8 +126,8 @@
     }
 
     /// Whether what is here is of the group as it was begun last.
-    pub fn is_current_incarnation(&self, role: &Role) -> bool {
-        self.state.begun_in() >= role.incarnation || self.has(ReplicaBug::KeepsWhatWasGivenUp)
+    pub fn reflects_recreation(&self, role: &Role) -> bool {
+        self.state.begun_in() >= role.recreated_in_epoch || self.has(ReplicaBug::KeepsWhatWasGivenUp)
     }
 
     /// This store is the head in that role: it stands where the chain stands. Where the group was given up and still is here as it was,
@@ -136,13 +136,13 @@
         if !role.is_head() {
             return None;
         }
-        if self.is_current_incarnation(role) {
+        if self.reflects_recreation(role) {
             self.caught_up_epoch = role.epoch;
             return None;
         }
         let mut given_up = self.state.names();
         given_up.extend(role.given_up_jobs.iter().cloned());
-        let begin = Command::Begin { view: role.incarnation, given_up };
+        let begin = Command::Begin { view: role.recreated_in_epoch, given_up };
         *self = Self { planted: self.planted, ..Self::default() };
         self.create_entry(group, role.epoch, begin);
         Some(self.snapshot())
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -7,7 +7,7 @@
 pub struct Role {
     pub epoch: u64,
     /// The view in which the group was begun anew; 0 where it never was.
-    pub incarnation: u64,
+    pub recreated_in_epoch: u64,
     /// Batch jobs that were given up then.
     pub given_up_jobs: Vec<String>,
     /// Being level in this view or a later one is being level now.
@@ -31,7 +31,7 @@
         let place = held.chain.iter().position(|link| *link == store)?;
         Some(Self {
             epoch: view.epoch,
-            incarnation: held.incarnation,
+            recreated_in_epoch: held.recreated_in_epoch,
             given_up_jobs: held.given_up_jobs.clone(),
             caught_up_since: held.unchanged_since(store)?,
             successor_caught_up_since: held.unchanged_since.get(place + 1).copied(),
--- a/crates/replication/tests/decisions.rs
+++ b/crates/replication/tests/decisions.rs
@@ -36,7 +36,7 @@
         chain: numbers(chain),
         absent: numbers(absent),
         unchanged_since: vec![epoch; chain.len()],
-        incarnation: begun_in,
+        recreated_in_epoch: begun_in,
         ..Group::default()
     };
     let mut view = StoreView::default();
@@ -223,7 +223,7 @@
     assert_eq!(reading.confirming_links(), [StoreNumber(1), StoreNumber(2)]);
     let mut late = reading.clone();
     assert_eq!(late.poll(&mut tail, 2, Duration::ZERO), ReadStep::Wait(CONFIRM_TIMEOUT));
-    assert_eq!(late.poll(&mut tail, 2, CONFIRM_TIMEOUT), ReadStep::Unavailable, "nobody confirms the view");
+    assert_eq!(late.poll(&mut tail, 2, CONFIRM_TIMEOUT), ReadStep::Undetermined, "nobody confirms the view");
     for link in [1, 2] {
         reading.record_answer(StoreNumber(link), Some(end));
     }
@@ -233,7 +233,7 @@
         "not on the disk"
     );
     tail.mark_durable(end);
-    assert_eq!(reading.clone().poll(&mut tail, 3, Duration::ZERO), ReadStep::Unavailable, "another view");
+    assert_eq!(reading.clone().poll(&mut tail, 3, Duration::ZERO), ReadStep::Undetermined, "another view");
     let ReadStep::Page(page, place) = reading.poll(&mut tail, 2, Duration::ZERO) else { panic!("no page") };
     assert_eq!((page.results.len(), place), (1, end));
     let mut unknown = ReadOperation::new(Some(role(2, 3)), query("b"), hold).expect("the tail");
--- a/crates/simulation/src/stores/continuing.rs
+++ b/crates/simulation/src/stores/continuing.rs
@@ -293,7 +293,7 @@
             ReadStep::NotFound => Answer::NotFound,
             ReadStep::GivenUp if self.has(StorePlant::GivenUpIsUnknown) => Answer::NotFound,
             ReadStep::GivenUp => Answer::GivenUp,
-            ReadStep::Unavailable => Answer::Unsure,
+            ReadStep::Undetermined => Answer::Unsure,
         };
         step.effects.push(Effect::Answer { call: answer_to, answer });
         (None, true)
