--- a/crates/encoding/src/compression.rs
+++ b/crates/encoding/src/compression.rs
@@ -1,4 +1,4 @@
-//! Long bytes made short for links, and made long again within a bound.
+//! Zlib compression of long byte strings, with a size limit on decompression, and a checksum.
 
 use std::io::{Read, Write};
 
@@ -6,41 +6,45 @@
 use flate2::write::ZlibEncoder;
 use flate2::Compression;
 
-/// Quick rather than small: sources have a part of a core.
-const LEVEL: u32 = 3;
+/// Favours speed over size: senders have only a fraction of a core for this.
+const COMPRESSION_LEVEL: u32 = 3;
 
-/// Bytes that were not packed by [`packed`], or are longer than allowed.
+/// The bytes were not produced by [`compress`], or decompress to more than is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecompressError {
-    #[error("packed bytes cannot be read ({0}): run one version of the programs everywhere")]
+    /// The bytes are not a valid zlib stream; holds the decoder's message.
+    #[error("compressed bytes cannot be decoded ({0}): run the same version of all programs")]
     Corrupt(String),
-    #[error("packed bytes hold more than {0} bytes: the sender is not one of ours")]
+    /// The stream decompresses to more than this number of bytes.
+    #[error(
+        "compressed bytes expand to more than the limit of {0} bytes: the sender is not one of our programs"
+    )]
     TooLarge(usize),
 }
 
-/// The bytes, packed.
+/// Compresses `bytes` into a zlib stream.
 pub fn compress(bytes: &[u8]) -> Vec<u8> {
-    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::new(LEVEL));
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::new(COMPRESSION_LEVEL));
     // Writing to memory does not fail.
     let _ = encoder.write_all(bytes);
     encoder.finish().unwrap_or_default()
 }
 
-/// The bytes that were packed.
+/// Decompresses a zlib stream.
 ///
 /// # Errors
-/// If they cannot be read, or are more than `most`.
-pub fn decompress(bytes: &[u8], most: usize) -> Result<Vec<u8>, DecompressError> {
-    let mut long = Vec::new();
-    let mut decoder = ZlibDecoder::new(bytes).take(most as u64 + 1);
-    decoder.read_to_end(&mut long).map_err(|reason| DecompressError::Corrupt(reason.to_string()))?;
-    match long.len() > most {
-        true => Err(DecompressError::TooLarge(most)),
-        false => Ok(long),
+/// If the stream is invalid, or expands to more than `max_bytes`.
+pub fn decompress(bytes: &[u8], max_bytes: usize) -> Result<Vec<u8>, DecompressError> {
+    let mut decompressed = Vec::new();
+    let mut decoder = ZlibDecoder::new(bytes).take(max_bytes as u64 + 1);
+    decoder.read_to_end(&mut decompressed).map_err(|reason| DecompressError::Corrupt(reason.to_string()))?;
+    match decompressed.len() > max_bytes {
+        true => Err(DecompressError::TooLarge(max_bytes)),
+        false => Ok(decompressed),
     }
 }
 
-/// Tells texts apart that differ by a fault.
+/// Returns the CRC-32 of `bytes`, which detects corruption but no tampering.
 pub fn checksum(bytes: &[u8]) -> u32 {
     crc32fast::hash(bytes)
 }
--- a/crates/encoding/src/delta.rs
+++ b/crates/encoding/src/delta.rs
@@ -1,69 +1,69 @@
-//! What turns one text into another: ranges of the old one, and what is new. Texts are cut after closing braces, as JSON has them;
-//! any bytes will do.
+//! Delta encoding of one text against another: a list of ranges to copy from the old text and of bytes to insert. Texts
+//! are split after closing braces, which suits JSON; any bytes are encoded correctly.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A part of the new text.
+/// One operation of a delta; the new text is the concatenation of what the operations yield.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeltaOp {
-    /// So many bytes of the old text, from there on.
-    Copy {
-        offset: u64,
-        length: u64,
-    },
+    /// Copies `length` bytes of the old text, beginning at byte `offset`.
+    Copy { offset: u64, length: u64 },
+    /// Inserts these bytes.
     Insert(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// A delta does not belong to the text that it was applied to.
+/// The delta was not computed from the text that it was applied to, or its result would be too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a change does not fit the text that it is for: ask for the whole text")]
+#[error("the delta does not match the text that it was applied to: request the whole text")]
 pub struct DeltaMismatchError;
 
-/// The parts of `new`, by what it has in common with `old`.
+/// Returns the operations that turn `old` into `new`.
 pub fn compute_delta(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
-    let mut places: HashMap<&[u8], usize> = HashMap::new();
-    let mut place = 0;
-    for piece in pieces(old) {
-        places.entry(piece).or_insert(place);
-        place += piece.len();
+    let mut offsets: HashMap<&[u8], usize> = HashMap::new();
+    let mut offset = 0;
+    for chunk in split_chunks(old) {
+        offsets.entry(chunk).or_insert(offset);
+        offset += chunk.len();
     }
-    let mut parts: Vec<DeltaOp> = Vec::new();
-    for piece in pieces(new) {
-        if let Some(DeltaOp::Copy { offset: from, length }) = parts.last_mut() {
-            let next = (*from + *length) as usize;
-            if old[next..].starts_with(piece) {
-                *length += piece.len() as u64;
+    let mut ops: Vec<DeltaOp> = Vec::new();
+    for chunk in split_chunks(new) {
+        if let Some(DeltaOp::Copy { offset, length }) = ops.last_mut() {
+            let end = (*offset + *length) as usize;
+            if old[end..].starts_with(chunk) {
+                *length += chunk.len() as u64;
                 continue;
             }
         }
-        match (places.get(piece), parts.last_mut()) {
-            (Some(from), _) => parts.push(DeltaOp::Copy { offset: *from as u64, length: piece.len() as u64 }),
-            (None, Some(DeltaOp::Insert(bytes))) => bytes.extend_from_slice(piece),
-            (None, _) => parts.push(DeltaOp::Insert(piece.to_vec())),
+        match (offsets.get(chunk), ops.last_mut()) {
+            (Some(offset), _) => {
+                ops.push(DeltaOp::Copy { offset: *offset as u64, length: chunk.len() as u64 })
+            }
+            (None, Some(DeltaOp::Insert(bytes))) => bytes.extend_from_slice(chunk),
+            (None, _) => ops.push(DeltaOp::Insert(chunk.to_vec())),
         }
     }
-    parts
+    ops
 }
 
-/// The new text.
+/// Returns the new text that `delta` describes.
 ///
 /// # Errors
-/// If a part names what the old text does not have, or the new one would be longer than `most` bytes.
-pub fn apply_delta(old: &[u8], parts: &[DeltaOp], most: usize) -> Result<Vec<u8>, DeltaMismatchError> {
+/// If an operation copies a range that `old` does not have, or the new text would exceed `max_bytes`.
+pub fn apply_delta(old: &[u8], delta: &[DeltaOp], max_bytes: usize) -> Result<Vec<u8>, DeltaMismatchError> {
     let mut new = Vec::new();
-    for part in parts {
-        let bytes = match part {
+    for op in delta {
+        let bytes = match op {
             DeltaOp::Insert(bytes) => bytes.as_slice(),
-            DeltaOp::Copy { offset: from, length } => {
-                let from = usize::try_from(*from).map_err(|_| DeltaMismatchError)?;
+            DeltaOp::Copy { offset, length } => {
+                let start = usize::try_from(*offset).map_err(|_| DeltaMismatchError)?;
                 let length = usize::try_from(*length).map_err(|_| DeltaMismatchError)?;
-                let end = from.checked_add(length).ok_or(DeltaMismatchError)?;
-                old.get(from..end).ok_or(DeltaMismatchError)?
+                let end = start.checked_add(length).ok_or(DeltaMismatchError)?;
+                old.get(start..end).ok_or(DeltaMismatchError)?
             }
         };
-        if new.len() + bytes.len() > most {
+        if new.len() + bytes.len() > max_bytes {
             return Err(DeltaMismatchError);
         }
         new.extend_from_slice(bytes);
@@ -71,6 +71,6 @@
     Ok(new)
 }
 
-fn pieces(text: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn split_chunks(text: &[u8]) -> impl Iterator<Item = &[u8]> {
     text.split_inclusive(|byte| *byte == b'}')
 }
--- a/crates/encoding/src/tests.rs
+++ b/crates/encoding/src/tests.rs
@@ -6,60 +6,56 @@
 }
 
 #[test]
-fn a_delta_makes_the_new_text_of_the_old_one() {
+fn a_delta_turns_the_old_text_into_the_new_one() {
     let old = text(&["a", "b", "c", "d"]);
     let cases: [(&str, Vec<u8>); 8] = [
-        ("the same", old.clone()),
-        ("one more", text(&["a", "b", "c", "d", "e"])),
-        ("one less", text(&["a", "c", "d"])),
-        ("another order", text(&["d", "c", "b", "a"])),
-        ("one twice", text(&["a", "a", "b"])),
-        ("nothing", Vec::new()),
+        ("identical", old.clone()),
+        ("one item added", text(&["a", "b", "c", "d", "e"])),
+        ("one item removed", text(&["a", "c", "d"])),
+        ("reordered", text(&["d", "c", "b", "a"])),
+        ("one item duplicated", text(&["a", "a", "b"])),
+        ("empty", Vec::new()),
         ("no braces", b"plain".to_vec()),
-        ("cut short", old[..old.len() / 2].to_vec()),
+        ("truncated", old[..old.len() / 2].to_vec()),
     ];
-    for (what, new) in cases {
-        assert_eq!(apply_delta(&old, &compute_delta(&old, &new), new.len()).as_ref(), Ok(&new), "{what}");
+    for (case, new) in cases {
+        assert_eq!(apply_delta(&old, &compute_delta(&old, &new), new.len()).as_ref(), Ok(&new), "{case}");
         assert_eq!(
             apply_delta(&new, &compute_delta(&new, &old), old.len()).as_ref(),
             Ok(&old),
-            "{what}, back"
+            "{case}, reversed"
         );
     }
 }
 
 #[test]
-fn what_stays_is_not_sent() {
-    let many: Vec<String> = (0..1_600).map(|place| format!("route-{place}")).collect();
-    let names: Vec<&str> = many.iter().map(String::as_str).collect();
+fn unchanged_text_is_not_in_the_delta() {
+    let routes: Vec<String> = (0..1_600).map(|index| format!("route-{index}")).collect();
+    let names: Vec<&str> = routes.iter().map(String::as_str).collect();
     let mut changed = names.clone();
     changed[700] = "another";
-    let parts = compute_delta(&text(&names), &text(&changed));
-    assert!(encode(&parts).len() < 200, "{} bytes", encode(&parts).len());
+    let delta = compute_delta(&text(&names), &text(&changed));
+    assert!(encode(&delta).len() < 200, "{} bytes", encode(&delta).len());
 }
 
 #[test]
-fn a_delta_of_another_text_is_refused() {
+fn a_delta_of_a_different_text_is_rejected() {
     let old = text(&["a", "b", "c"]);
     let cases = [
         DeltaOp::Copy { offset: 0, length: old.len() as u64 + 1 },
         DeltaOp::Copy { offset: u64::MAX, length: 2 },
         DeltaOp::Copy { offset: 5, length: u64::MAX },
     ];
-    for part in cases {
-        assert_eq!(
-            apply_delta(&old, std::slice::from_ref(&part), 1 << 20),
-            Err(DeltaMismatchError),
-            "{part:?}"
-        );
+    for op in cases {
+        assert_eq!(apply_delta(&old, std::slice::from_ref(&op), 1 << 20), Err(DeltaMismatchError), "{op:?}");
     }
-    let bomb: Vec<DeltaOp> =
+    let expanding: Vec<DeltaOp> =
         (0..100).map(|_| DeltaOp::Copy { offset: 0, length: old.len() as u64 }).collect();
-    assert_eq!(apply_delta(&old, &bomb, 1_000), Err(DeltaMismatchError), "longer than allowed");
+    assert_eq!(apply_delta(&old, &expanding, 1_000), Err(DeltaMismatchError), "exceeds the size limit");
 }
 
 #[test]
-fn packed_bytes_come_back_within_the_bound() {
+fn compression_round_trips_within_the_size_limit() {
     let long = text(&["a"; 500]);
     let short = compress(&long);
     assert!(short.len() * 10 < long.len());
