--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -49,7 +49,7 @@
             return GiveUpReply::Unavailable;
         }
         let heard = self.presence.fresh();
-        let losses = self.settings.tolerate.losses();
+        let losses = self.settings.tolerate.tolerated_failures();
         let written = self
             .write(|state| {
                 if state.small.has_given_up(order) {
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -68,9 +68,9 @@
     ) -> Result<Rc<Self>, VersionsError> {
         let opened = Storage::open(&settings)?;
         let me = member(&settings, opened.identity, peer);
-        let rules = ViewRules::for_losses(settings.tolerate.losses());
+        let rules = ViewRules::for_losses(settings.tolerate.tolerated_failures());
         let replica = Replica::new(me.clone(), settings.counts_for_quorum, rules, opened.stored);
-        let seeds = settings.seed_peers();
+        let seeds = settings.seed_peer_addresses();
         let coordinator = Coordinator::new(replica, Timing::default(), seeds, Duration::ZERO);
         Ok(Rc::new(Self {
             me,
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -122,7 +122,7 @@
 
     /// To empty a store, at the head.
     pub(super) async fn retire_here(self: &Rc<Self>, node: &str) -> RetireReply {
-        let fewest = self.settings.tolerate.losses() + 1;
+        let fewest = self.settings.tolerate.tolerated_failures() + 1;
         let written = self.write(|state| begin_retirement(state, node, fewest)).await;
         match written {
             Ok(Ok(())) => RetireReply::Running,
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -65,7 +65,7 @@
 impl Storage {
     /// Opens the disk that the settings name; without one nothing is kept, and nothing fails.
     pub fn open(settings: &Settings) -> Result<Opened, VersionsError> {
-        let seeds = if settings.bootstrap { settings.seed_peers() } else { Vec::new() };
+        let seeds = if settings.bootstrap { settings.seed_peer_addresses() } else { Vec::new() };
         let Some(path) = &settings.data_dir else {
             let identity = Identity { node: settings.node.clone(), disk: random_number() };
             let storage = Self { jobs: None };
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -133,7 +133,7 @@
             first_heard = first_heard.or(Some(Instant::now()));
         }
         let may_begin = first_heard.is_some_and(|at| at.elapsed() > FIRST_WAIT);
-        let losses = core.settings.tolerate.losses();
+        let losses = core.settings.tolerate.tolerated_failures();
         let Some(state) = core.committed_state() else { continue };
         record_names(&core, &state, &fresh).await;
         let Some(change) = planned(&state, &fresh, losses, may_begin) else { continue };
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -5,9 +5,9 @@
 
 use actix_web::web::{Data, PayloadConfig};
 use actix_web::App;
-use fennelgauge_http::{serve_http, until_stopped, HttpTimes};
+use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
-use fennelgauge_sharing::Home;
+use fennelgauge_sharing::StatsAggregator;
 use fennelgauge_upstream::{subscribe, Known, Subscription};
 use fennelgauge_wire::{serve, Caller, Reply, Request};
 use tokio::net::TcpListener;
@@ -32,8 +32,8 @@
 
 async fn run_core(settings: Rc<Settings>) -> anyhow::Result<()> {
     let known = Rc::new(Known::of_source());
-    let caller = Caller::leaving_from(settings.calls_leave_from());
-    let told = settings.told_peer_address();
+    let caller = Caller::leaving_from(settings.peer_source_ip());
+    let told = settings.advertised_peer_address();
     let core = Core::open(settings.clone(), known.clone(), caller.clone(), told)?;
     let collector = Rc::new(UsageCollector::default());
 
@@ -61,14 +61,14 @@
     core: Rc<Core>,
     collector: Rc<UsageCollector>,
     /// Of the processes that report here what servers they use.
-    home: Rc<RefCell<Home>>,
+    home: Rc<RefCell<StatsAggregator>>,
     began: Instant,
 }
 
 async fn answer(answering: Answering, request: Request) -> Reply {
     let Answering { core, collector, home, began } = answering;
     match request {
-        Request::Uses(report) => match home.borrow_mut().report(report, began.elapsed()) {
+        Request::Uses(report) => match home.borrow_mut().add_report(report, began.elapsed()) {
             Ok(sums) => Reply::Uses(sums),
             Err(reason) => {
                 log::warn!("{reason}");
@@ -99,8 +99,8 @@
         let operator = Data::new(Operator { core });
         let app =
             App::new().app_data(PayloadConfig::new(MAX_ORDER_BYTES)).app_data(operator).configure(routes);
-        spawn_local(serve_http(listener, app, HttpTimes::default()));
+        spawn_local(serve_http(listener, app, HttpTimeouts::default()));
     }
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     Ok(())
 }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -5,7 +5,7 @@
 
 use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
 use fennelgauge_encoding::{packed, unpacked};
-use fennelgauge_model::{patched, Document};
+use fennelgauge_model::{apply_patch, Document};
 use fennelgauge_wire::{decode, encode, Order, OrderKind};
 use serde::{Deserialize, Serialize};
 
@@ -209,7 +209,7 @@
         }
         let document = match order.kind {
             OrderKind::Put => Document::parse(&order.body, self.small.generation),
-            OrderKind::Patch => patched(self.configuration.json(), &order.body)
+            OrderKind::Patch => apply_patch(self.configuration.json(), &order.body)
                 .and_then(|json| Document::parse(&json, self.small.generation)),
         };
         match document {
--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -7,7 +7,7 @@
 use actix_web::http::{Method, StatusCode};
 use actix_web::web::Bytes;
 use fennelgauge_batch::{Item, ItemOutcome, ItemResult};
-use fennelgauge_model::{fixed_chance, Route};
+use fennelgauge_model::{stable_fraction, Route};
 use fennelgauge_upstream::{
     is_hop_by_hop, Answer, Demand, EventOrder, EventReader, Outgoing, SendError, Ticket, LAST_EVENT_ID,
     PREFIX_HASH, PRIORITY, TENANT,
@@ -69,7 +69,7 @@
             if route.retention_s > 0.0 && wall_clock_ms() > given_up_ms {
                 return Some(dead);
             }
-            let service = route.service(fixed_chance(&item.id));
+            let service = route.pick_service(stable_fraction(&item.id));
             if self.pool.mean_load(service).is_some_and(|load| load > ENOUGH_LOAD) {
                 sleep(TRY_AGAIN).await;
                 continue;
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Identity, Member, StoreNumber, StoreView, GROUPS, STORE_LEASE};
-use fennelgauge_http::until_stopped;
+use fennelgauge_http::wait_for_shutdown_signal;
 use fennelgauge_replication::{Query, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
@@ -102,7 +102,7 @@
     let sharing = Subscription::new(&settings);
     spawn_local(share_uses(store.pool.clone(), store.known.clone(), store.caller.clone(), sharing, life));
     spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     Ok(())
 }
 
@@ -126,13 +126,13 @@
         }
         let earliest_view = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
-        let peer = settings.told_peer_address();
+        let peer = settings.advertised_peer_address();
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
         Ok(Rc::new(Self {
             me,
             pool: Pool::new(&settings.zone, &settings.policy),
             sender: Sender::new(&settings.policy),
-            caller: Caller::leaving_from(settings.calls_leave_from()),
+            caller: Caller::leaving_from(settings.peer_source_ip()),
             settings,
             known: Rc::default(),
             journal,
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -8,7 +8,7 @@
 use actix_web::http::StatusCode;
 use fennelgauge_batch::{Command, Item, ItemResult, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_model::{fixed_chance, Route, RouteKind, RoutingTable};
+use fennelgauge_model::{stable_fraction, Route, RouteKind, RoutingTable};
 use fennelgauge_upstream::{Answer, SendError};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
@@ -238,7 +238,7 @@
             return None;
         }
         let route = batch_route(&*self.known.table()?, &state.job, item);
-        Some(route.map_or(String::new(), |route| route.service(fixed_chance(&item.id)).to_owned()))
+        Some(route.map_or(String::new(), |route| route.pick_service(stable_fraction(&item.id)).to_owned()))
     }
 
     fn running_of(&self, service: &str) -> RunningCount {
@@ -318,5 +318,5 @@
 /// The batch route of an item; none where the configuration has it no more.
 pub(super) fn batch_route(table: &RoutingTable, job: &Job, item: &Item) -> Option<Rc<Route>> {
     let path = item.path.split('?').next().unwrap_or("");
-    table.route(&job.host, path).filter(|route| route.kind == RouteKind::Batch)
+    table.find_route(&job.host, path).filter(|route| route.kind == RouteKind::Batch)
 }
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -55,7 +55,7 @@
     let Some(table) = plane.known.table() else {
         return refused(&plane, StatusCode::SERVICE_UNAVAILABLE, NOT_READY_RETRY_AFTER_S);
     };
-    let access = match table.access(host(&request), request.uri().path(), authorization(&request)) {
+    let access = match table.authorize(host(&request), request.uri().path(), authorization(&request)) {
         Ok(access) => access,
         Err(denial) => return finished(&plane, denied(denial)),
     };
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -9,7 +9,7 @@
 use actix_web::http::StatusCode;
 use actix_web::web::Bytes;
 use actix_web::{HttpRequest, HttpResponse};
-use fennelgauge_model::{fixed_chance, Access, RouteKind};
+use fennelgauge_model::{stable_fraction, Access, RouteKind};
 use fennelgauge_upstream::{
     is_hop_by_hop, Answer, Demand, Outgoing, SendError, Ticket, DEADLINE, PREFIX_HASH, PRIORITY, REQUEST_ID,
     TARGET_INSTANCE, TENANT,
@@ -100,7 +100,7 @@
         let deadline = header_text(request, &DEADLINE).and_then(|value| value.parse().ok());
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let held = Duration::from_millis(access.route.timeout_ms);
-        let service = access.route.service(fixed_chance(&id)).to_owned();
+        let service = access.route.pick_service(stable_fraction(&id)).to_owned();
         let outgoing = Outgoing {
             method: request.method().clone(),
             path_and_query: request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned(),
@@ -158,7 +158,7 @@
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
                 SendError::MayHaveRun | SendError::TimeUp => self.runs += 1,
             }
-            let runs_left = self.access.route.repeatable() && self.runs < self.most_runs();
+            let runs_left = self.access.route.is_retry_safe() && self.runs < self.most_runs();
             if self.runs > 0 && !runs_left {
                 return Err(self.given_up());
             }
@@ -175,7 +175,7 @@
     /// Whether a server's silence is left for another one, which may run the request after `runs` others.
     pub(crate) fn leaves_silence_after(&self, runs: u32) -> bool {
         let leaves = self.plane.settings.policy.leave_silent_servers;
-        leaves && self.access.route.repeatable() && runs < self.most_runs()
+        leaves && self.access.route.is_retry_safe() && runs < self.most_runs()
     }
 
     /// After a silence of this length a request that may be repeated goes to another server.
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -36,7 +36,7 @@
 }
 
 fn run(level: Option<log::LevelFilter>, policy: Option<PathBuf>) -> anyhow::Result<()> {
-    let settings = Settings::with_policy(policy)?;
+    let settings = Settings::from_environment_with_policy(policy)?;
     start_logging(&settings, level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, fennelgauge_data_plane::process::run(settings))
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -6,7 +6,7 @@
 
 use actix_web::web::{Data, PayloadConfig};
 use actix_web::App;
-use fennelgauge_http::{serve_http, until_stopped, HttpTimes};
+use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
     client, keep_reachable, read_list, share_uses, subscribe, Known, Pool, Reader, Sender, Subscription,
@@ -54,7 +54,7 @@
 
 impl Plane {
     pub fn new(settings: Settings) -> Self {
-        let caller = Caller::leaving_from(settings.calls_leave_from());
+        let caller = Caller::leaving_from(settings.peer_source_ip());
         Self {
             usage: RefCell::new(UsageCounts::new(settings.bounds.usage_window_s)),
             pool: Pool::new(&settings.zone, &settings.policy),
@@ -77,7 +77,7 @@
 
     /// Whether a request that is read now could be cut off by this process's end.
     pub fn takes_no_more(&self) -> bool {
-        let last = LAST_REQUESTS.min(self.settings.grace().mul_f64(LAST_REQUESTS_PART));
+        let last = LAST_REQUESTS.min(self.settings.shutdown_grace().mul_f64(LAST_REQUESTS_PART));
         self.stopping.get().is_some_and(|since| since.elapsed() > last)
     }
 
@@ -112,17 +112,18 @@
     spawn_local(report_usage(plane.clone()));
     if let Some(address) = plane.settings.listen.ready {
         let app = App::new().app_data(Data::new(plane.clone())).configure(ready::routes);
-        spawn_local(serve_http(TcpListener::bind(address).await?, app, HttpTimes::default()));
+        spawn_local(serve_http(TcpListener::bind(address).await?, app, HttpTimeouts::default()));
     }
     if let Some(address) = plane.settings.listen.front {
         let app = App::new()
             .app_data(PayloadConfig::new(front::MAX_BODY_BYTES))
             .app_data(Data::new(plane.clone()))
             .configure(front::routes);
-        let times = HttpTimes { head: Duration::from_secs(5), idle: Duration::from_secs(60) };
+        let times =
+            HttpTimeouts { request_head: Duration::from_secs(5), keep_alive: Duration::from_secs(60) };
         spawn_local(serve_http(TcpListener::bind(address).await?, app, times));
     }
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     stop(&plane).await;
     Ok(())
 }
@@ -130,7 +131,7 @@
 /// Says that it is no longer ready, answers what comes meanwhile, and waits for the last answers.
 async fn stop(plane: &Plane) {
     let began = Instant::now();
-    let until = plane.settings.grace().saturating_sub(STOP_MARGIN);
+    let until = plane.settings.shutdown_grace().saturating_sub(STOP_MARGIN);
     plane.stopping.set(Some(began));
     sleep(LAST_CONNECTIONS.min(until)).await;
     // After the last check nothing is awaited: a request that is read after it has nobody to answer it.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -13,21 +13,21 @@
 
 /// How long clients may take.
 #[derive(Clone, Copy, Debug)]
-pub struct HttpTimes {
+pub struct HttpTimeouts {
     /// For the head of a request.
-    pub head: Duration,
+    pub request_head: Duration,
     /// Between two requests of a connection.
-    pub idle: Duration,
+    pub keep_alive: Duration,
 }
 
-impl Default for HttpTimes {
+impl Default for HttpTimeouts {
     fn default() -> Self {
-        Self { head: Duration::from_secs(5), idle: Duration::from_secs(30) }
+        Self { request_head: Duration::from_secs(5), keep_alive: Duration::from_secs(30) }
     }
 }
 
 /// Takes connections in without end, each on a task of its own.
-pub async fn serve_http<T, B>(listener: TcpListener, app: App<T>, times: HttpTimes)
+pub async fn serve_http<T, B>(listener: TcpListener, app: App<T>, times: HttpTimeouts)
 where
     T: ServiceFactory<
             ServiceRequest,
@@ -40,8 +40,8 @@
 {
     let app = app.into_factory().map_err(|error: Error| error.error_response());
     let service = HttpService::build()
-        .keep_alive(times.idle)
-        .client_request_timeout(times.head)
+        .keep_alive(times.keep_alive)
+        .client_request_timeout(times.request_head)
         .client_disconnect_timeout(Duration::from_millis(500))
         .finish(map_config(app, |()| AppConfig::default()))
         .tcp();
@@ -70,7 +70,7 @@
 }
 
 /// Waits for a signal that asks for the end. A hangup asks for nothing: settings are read anew whenever they are needed.
-pub async fn until_stopped() {
+pub async fn wait_for_shutdown_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()), signal(SignalKind::hangup()))
--- a/crates/model/src/configuration.rs
+++ b/crates/model/src/configuration.rs
@@ -68,7 +68,7 @@
 
 impl Route {
     /// Whether a request may be sent again although it may have run.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_retry_safe(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent | RouteKind::Batch => true,
             RouteKind::Streaming => self.resumable,
@@ -83,7 +83,7 @@
     }
 
     /// The service for one request; `chance` lies between 0 and 1.
-    pub fn service(&self, chance: f64) -> &str {
+    pub fn pick_service(&self, chance: f64) -> &str {
         if let Some(backend) = &self.backend {
             return backend;
         }
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -10,21 +10,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
     #[error("cannot be read whole: {0}: send one JSON object with generation, routes, services and limits")]
-    Unreadable(String),
+    Malformed(String),
     #[error("route {route}: service {service:?} is not among the services: add it or name another")]
     UnknownService { route: String, service: String },
     #[error("routes {first} and {second} share host and path_prefix: change one of them")]
-    SamePlace { first: String, second: String },
+    DuplicateRoute { first: String, second: String },
     #[error("route {route}: its weights sum to 0: give one service a weight above 0")]
-    NoWeight { route: String },
+    ZeroWeight { route: String },
     #[error("route {route}: timeout_ms is 0: give the longest time to hold a request")]
-    NoTimeout { route: String },
+    ZeroTimeout { route: String },
     #[error("route {route}: path_prefix must begin and end with a slash")]
-    Prefix { route: String },
+    InvalidPathPrefix { route: String },
     #[error("generation {given} is not above the current one ({current}): choose a higher one")]
-    OldGeneration { given: u64, current: u64 },
+    StaleGeneration { given: u64, current: u64 },
     #[error("tenants {first} and {second} share a key: take it away from one of them")]
-    SharedKey { first: String, second: String },
+    SharedApiKey { first: String, second: String },
 }
 
 /// A checked configuration with the bytes it came in.
@@ -44,12 +44,12 @@
 }
 
 fn unreadable(reason: serde_json::Error) -> DocumentError {
-    DocumentError::Unreadable(reason.to_string())
+    DocumentError::Malformed(reason.to_string())
 }
 
 fn check(configuration: &Configuration, current: u64) -> Result<(), DocumentError> {
     if configuration.generation <= current {
-        return Err(DocumentError::OldGeneration { given: configuration.generation, current });
+        return Err(DocumentError::StaleGeneration { given: configuration.generation, current });
     }
     let services: BTreeSet<&str> =
         configuration.services.iter().map(|service| service.name.as_str()).collect();
@@ -58,7 +58,10 @@
         check_route(route, &services)?;
         let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
         if let Some(first) = places.insert(place, &route.name) {
-            return Err(DocumentError::SamePlace { first: first.to_owned(), second: route.name.clone() });
+            return Err(DocumentError::DuplicateRoute {
+                first: first.to_owned(),
+                second: route.name.clone(),
+            });
         }
     }
     check_keys(configuration)
@@ -67,14 +70,14 @@
 fn check_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), DocumentError> {
     let name = || route.name.clone();
     if route.timeout_ms == 0 {
-        return Err(DocumentError::NoTimeout { route: name() });
+        return Err(DocumentError::ZeroTimeout { route: name() });
     }
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        return Err(DocumentError::Prefix { route: name() });
+        return Err(DocumentError::InvalidPathPrefix { route: name() });
     }
     let weight: f64 = route.split.iter().map(|part| part.weight).sum();
     if route.backend.is_none() && weight <= 0.0 {
-        return Err(DocumentError::NoWeight { route: name() });
+        return Err(DocumentError::ZeroWeight { route: name() });
     }
     let named = route.split.iter().map(|part| part.backend.as_str()).chain(route.backend.as_deref());
     match named.into_iter().find(|service| !services.contains(service)) {
@@ -89,7 +92,7 @@
         for key in &tenant.api_keys {
             match holders.insert(key, &tenant.name) {
                 Some(first) if first != tenant.name => {
-                    return Err(DocumentError::SharedKey {
+                    return Err(DocumentError::SharedApiKey {
                         first: first.to_owned(),
                         second: tenant.name.clone(),
                     })
@@ -102,7 +105,7 @@
 }
 
 /// The configuration that a patch makes of `current`: named items replaced, added or removed.
-pub fn patched(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, DocumentError> {
+pub fn apply_patch(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, DocumentError> {
     let mut whole: Map<String, Value> = serde_json::from_slice(current).map_err(unreadable)?;
     let patch: Map<String, Value> = serde_json::from_slice(patch).map_err(unreadable)?;
     let generation =
@@ -118,7 +121,7 @@
 }
 
 fn missing(key: &str) -> DocumentError {
-    DocumentError::Unreadable(format!("{key} is missing or of the wrong type"))
+    DocumentError::Malformed(format!("{key} is missing or of the wrong type"))
 }
 
 fn lists(patch: &Map<String, Value>, key: &str) -> Result<Vec<(String, Vec<Value>)>, DocumentError> {
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -58,38 +58,38 @@
     }
 
     /// The route of a host (a port in it does not count) and a path (without its query).
-    pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
-        let routes = self.routes_of(host)?;
+    pub fn find_route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
+        let routes = self.routes_for_host(host)?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix)).cloned()
     }
 
     /// All routes of a host.
-    pub fn routes_of(&self, host: &str) -> Option<&Vec<Rc<Route>>> {
+    pub fn routes_for_host(&self, host: &str) -> Option<&Vec<Rc<Route>>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         self.hosts.get(&host.to_ascii_lowercase())
     }
 
     /// The tenant that holds a key.
-    pub fn tenant(&self, key: &str) -> Option<Rc<Tenant>> {
+    pub fn tenant_by_key(&self, key: &str) -> Option<Rc<Tenant>> {
         self.keys.get(key).cloned()
     }
 
     /// Checks a request by its host, path and the value of its `Authorization`.
-    pub fn access(&self, host: &str, path: &str, authorization: Option<&str>) -> Result<Access, Denial> {
-        let route = self.route(host, path).ok_or(Denial::NoRoute)?;
+    pub fn authorize(&self, host: &str, path: &str, authorization: Option<&str>) -> Result<Access, Denial> {
+        let route = self.find_route(host, path).ok_or(Denial::NoRoute)?;
         if route.public || !self.keys_needed {
             return Ok(Access { route, tenant: None });
         }
-        let tenant = self.authorized(authorization).ok_or(Denial::UnknownKey)?;
+        let tenant = self.tenant_from_authorization(authorization).ok_or(Denial::UnknownKey)?;
         Ok(Access { route, tenant: Some(tenant) })
     }
 
     /// The tenant of an `Authorization` of the form `Bearer KEY`.
-    pub fn authorized(&self, authorization: Option<&str>) -> Option<Rc<Tenant>> {
+    pub fn tenant_from_authorization(&self, authorization: Option<&str>) -> Option<Rc<Tenant>> {
         let (scheme, key) = authorization?.split_once(' ')?;
         if !scheme.eq_ignore_ascii_case("bearer") {
             return None;
         }
-        self.tenant(key.trim())
+        self.tenant_by_key(key.trim())
     }
 }
--- a/crates/model/src/servers.rs
+++ b/crates/model/src/servers.rs
@@ -39,6 +39,6 @@
     /// Rises with each list that differs, within one life of its reader.
     pub version: u64,
     /// The life of the reader.
-    pub reader: u64,
+    pub reader_incarnation: u64,
     pub servers: Vec<Server>,
 }
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -42,7 +42,7 @@
         assert!(error.contains(reason), "{name}: {error}");
     }
     let text = serde_json::to_vec(&whole()).unwrap();
-    assert!(matches!(Document::parse(&text[..text.len() / 2], 0), Err(DocumentError::Unreadable(_))));
+    assert!(matches!(Document::parse(&text[..text.len() / 2], 0), Err(DocumentError::Malformed(_))));
 }
 
 #[test]
@@ -58,7 +58,7 @@
         ("b.example", "/x/1", Some("Bearer k1"), Err(Denial::NoRoute)),
     ];
     for (host, path, key, expected) in cases {
-        let found = table.access(host, path, key);
+        let found = table.authorize(host, path, key);
         let found = found.as_ref().map(|access| {
             (access.route.name.as_str(), access.tenant.as_ref().map(|tenant| tenant.name.as_str()))
         });
@@ -74,7 +74,8 @@
                    "tenants": [{"name": "v", "api_keys": ["k9"]}]},
         "remove": {"routes": ["a"], "tenants": ["u"]},
     });
-    let json = patched(&serde_json::to_vec(&whole()).unwrap(), &serde_json::to_vec(&patch).unwrap()).unwrap();
+    let json =
+        apply_patch(&serde_json::to_vec(&whole()).unwrap(), &serde_json::to_vec(&patch).unwrap()).unwrap();
     let document = Document::parse(&json, 7).unwrap();
     let names = |list: &str| -> Vec<String> {
         let value: serde_json::Value = serde_json::from_slice(&json).unwrap();
@@ -92,6 +93,6 @@
     route.split[1].backend = "other".to_owned();
     let cases = [(0.0, "s"), (0.5, "s"), (0.89, "s"), (0.91, "other"), (1.0, "other")];
     for (chance, service) in cases {
-        assert_eq!(route.service(chance), service, "{chance}");
+        assert_eq!(route.pick_service(chance), service, "{chance}");
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -104,7 +104,7 @@
 
 impl Tolerate {
     /// Losses that copies must outlive, whichever unit they come in.
-    pub fn losses(&self) -> usize {
+    pub fn tolerated_failures(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 }
@@ -195,7 +195,7 @@
     }
 
     /// As [`Settings::from_environment`], with the policy of a file of its own where one is given.
-    pub fn with_policy(policy: Option<PathBuf>) -> Result<Self, SettingsError> {
+    pub fn from_environment_with_policy(policy: Option<PathBuf>) -> Result<Self, SettingsError> {
         let mut settings = Self::from_environment()?;
         if let Some(path) = policy {
             settings.policy = Policy::read(&path)?;
@@ -222,12 +222,12 @@
     }
 
     /// Where our other processes reach this one.
-    pub fn told_peer_address(&self) -> SocketAddr {
+    pub fn advertised_peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.peer_ip.unwrap_or(self.ip), self.port_range[0])
     }
 
     /// The address that calls to our other processes leave from; none where the system may choose.
-    pub fn calls_leave_from(&self) -> Option<IpAddr> {
+    pub fn peer_source_ip(&self) -> Option<IpAddr> {
         self.peer_ip.map(|_| self.ip)
     }
 
@@ -237,12 +237,12 @@
     }
 
     /// The seeds' addresses for our own processes: same machines, the first port of the range.
-    pub fn seed_peers(&self) -> Vec<SocketAddr> {
+    pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.port_range[0])).collect()
     }
 
     /// The time that a stop may take.
-    pub fn grace(&self) -> Duration {
+    pub fn shutdown_grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s)
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -16,7 +16,7 @@
     let settings = Settings::parse(GOOD, Path::new("boot.toml")).expect("good settings");
     assert!(settings.serves("edge") && !settings.serves("storage"));
     assert_eq!(settings.control_peer_address(), "10.1.0.14:7360".parse().unwrap());
-    assert_eq!(settings.seed_peers()[1], "10.2.0.22:7360".parse().unwrap());
+    assert_eq!(settings.seed_peer_addresses()[1], "10.2.0.22:7360".parse().unwrap());
     assert_eq!(settings.bounds.usage_window_s, 5.0);
 }
 
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -2,10 +2,10 @@
 //! answers with the sums over all its other reporters. A report is whole, not a change to an earlier one: a lost or repeated
 //! one does no harm. Pure: times are told, nothing waits.
 
-mod home;
+mod aggregator;
 mod outcomes;
 mod report;
 
-pub use home::{Home, ReportError, FRESH_FOR, MOST_REPORTERS};
-pub use outcomes::Outcomes;
-pub use report::{Report, ServerKey, ServerUse, Sums, MOST_USES};
+pub use aggregator::{ReportError, StatsAggregator, MAX_REPORTERS, REPORT_TTL};
+pub use outcomes::DecayingOutcomes;
+pub use report::{ServerKey, ServerStats, StatsReport, StatsTotals, MAX_SERVERS_PER_REPORT};
--- a/crates/sharing/src/outcomes.rs
+++ b/crates/sharing/src/outcomes.rs
@@ -11,12 +11,12 @@
 
 /// Fading counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outcomes {
+pub struct DecayingOutcomes {
     good: f64,
     bad: f64,
 }
 
-impl Outcomes {
+impl DecayingOutcomes {
     /// From the tenths of a report.
     pub fn from_tenths(good: u32, bad: u32) -> Self {
         Self { good: f64::from(good) / 10.0, bad: f64::from(bad) / 10.0 }
@@ -28,28 +28,28 @@
     }
 
     /// Time went by.
-    pub fn fade(&mut self, passed: Duration) {
+    pub fn decay(&mut self, passed: Duration) {
         let kept = (-passed.as_secs_f64() / FADES_IN.as_secs_f64()).exp();
         self.good *= kept;
         self.bad *= kept;
     }
 
-    pub fn add_good(&mut self) {
+    pub fn record_success(&mut self) {
         self.good += 1.0;
     }
 
-    pub fn add_bad(&mut self) {
+    pub fn record_failure(&mut self) {
         self.bad += 1.0;
     }
 
     /// Both together.
-    pub fn with(&self, other: &Self) -> Self {
+    pub fn combined_with(&self, other: &Self) -> Self {
         Self { good: self.good + other.good, bad: self.bad + other.bad }
     }
 
     /// The part of the outcomes that were failures, between 0 and 1; little is made of few, and nothing of what has nearly
     /// faded, as even a trace would set a server behind all that are alike.
-    pub fn trouble(&self) -> f64 {
+    pub fn failure_ratio(&self) -> f64 {
         let part = self.bad / (self.good + self.bad + ASSUMED_GOOD);
         match part < LEAST_TROUBLE {
             true => 0.0,
--- a/crates/standins/examples/hollow.rs
+++ b/crates/standins/examples/hollow.rs
@@ -49,7 +49,7 @@
     let client = awc::Client::default();
     put(&client, &tier, 0, 1).await;
     let memory_before = status_kb("VmRSS");
-    let seeds = Tier::read(&tier.core_settings(0))?.seed_peers();
+    let seeds = Tier::read(&tier.core_settings(0))?.seed_peer_addresses();
     let followers: Vec<Rc<Known>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
     wait_for(&followers, 1).await;
     let mut times: Vec<f64> = Vec::new();
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use fennelgauge_http::until_stopped;
+use fennelgauge_http::wait_for_shutdown_signal;
 use fennelgauge_settings::{Program, SETTINGS_VARIABLE};
 use fennelgauge_standins::{
     configuration, listing, start_platform, start_server, Platform, Ports, Tier, KEY,
@@ -75,7 +75,7 @@
     }
     put_configuration(&tier).await;
     explain(&tier);
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     for child in &mut children {
         child.start_kill()?;
     }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -7,7 +7,7 @@
 
 use actix_web::web::{self, Data, Json};
 use actix_web::{App, HttpRequest, HttpResponse};
-use fennelgauge_http::{serve_http, HttpTimes};
+use fennelgauge_http::{serve_http, HttpTimeouts};
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -40,7 +40,7 @@
         .route("/instances", web::get().to(instances))
         .route("/usage", web::post().to(usage))
         .route("/scale", web::post().to(|| async { HttpResponse::Ok().finish() }));
-    spawn_local(serve_http(listener, app, HttpTimes::default()));
+    spawn_local(serve_http(listener, app, HttpTimeouts::default()));
 }
 
 async fn speaks(platform: &Platform) {
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -11,7 +11,7 @@
 use actix_web::http::StatusCode;
 use actix_web::web::{self, Bytes, Data};
 use actix_web::{App, HttpRequest, HttpResponse};
-use fennelgauge_http::{serve_http, HttpTimes};
+use fennelgauge_http::{serve_http, HttpTimeouts};
 use futures_util::stream;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -51,7 +51,7 @@
     let address = listener.local_addr()?;
     let server = Rc::new(ModelServer { id: id.to_owned(), ..ModelServer::default() });
     let app = App::new().app_data(Data::new(server.clone())).default_service(web::to(answer));
-    spawn_local(serve_http(listener, app, HttpTimes::default()));
+    spawn_local(serve_http(listener, app, HttpTimeouts::default()));
     Ok((address, server))
 }
 
--- a/crates/upstream/src/choice.rs
+++ b/crates/upstream/src/choice.rs
@@ -1,6 +1,6 @@
 //! The choice among the servers that may have a request.
 
-use fennelgauge_model::{mixed, stable_hash};
+use fennelgauge_model::{splitmix64, stable_hash};
 use fennelgauge_settings::Policy;
 use tokio::time::Instant;
 
@@ -65,7 +65,7 @@
     /// The server that keeps the request's shared part.
     fn home<'s>(&self, candidates: &[&'s Seen]) -> Option<&'s Seen> {
         let affinity = self.affinity()?;
-        candidates.iter().copied().max_by_key(|seen| mixed(affinity ^ stable_hash(&seen.server.id)))
+        candidates.iter().copied().max_by_key(|seen| splitmix64(affinity ^ stable_hash(&seen.server.id)))
     }
 
     fn least_loaded<'s>(&self, mut candidates: Vec<&'s Seen>) -> Option<&'s Seen> {
--- a/crates/upstream/src/known.rs
+++ b/crates/upstream/src/known.rs
@@ -162,7 +162,7 @@
         let servers = self.servers.borrow();
         Have {
             generation: if self.wants_whole.get() { 0 } else { self.generation() },
-            servers: (servers.reader, servers.version),
+            servers: (servers.reader_incarnation, servers.version),
             stores: self.stores.borrow().epoch,
             view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
         }
--- a/crates/upstream/src/platform.rs
+++ b/crates/upstream/src/platform.rs
@@ -89,6 +89,6 @@
             self.version += 1;
             self.last = servers.clone();
         }
-        ServerList { version: self.version, reader: self.life, servers }
+        ServerList { version: self.version, reader_incarnation: self.life, servers }
     }
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -67,7 +67,7 @@
 
     /// Takes up a list; a list already taken costs nothing.
     pub fn update(&self, list: &ServerList) {
-        let version = (list.reader, list.version);
+        let version = (list.reader_incarnation, list.version);
         if std::mem::replace(&mut *self.reader.borrow_mut(), version) == version {
             return;
         }
--- a/crates/upstream/src/pool/tests.rs
+++ b/crates/upstream/src/pool/tests.rs
@@ -20,7 +20,7 @@
 fn pool_of(ids: &[&str], policy: &Policy) -> Pool {
     let pool = Pool::new("z", policy);
     let servers = ids.iter().map(|id| server(id)).collect();
-    pool.update(&ServerList { version: 1, reader: 1, servers });
+    pool.update(&ServerList { version: 1, reader_incarnation: 1, servers });
     pool
 }
 
--- a/crates/upstream/src/seen.rs
+++ b/crates/upstream/src/seen.rs
@@ -4,7 +4,7 @@
 
 use fennelgauge_model::{Server, ServerState};
 use fennelgauge_settings::Policy;
-use fennelgauge_sharing::{Outcomes, ServerKey, ServerUse};
+use fennelgauge_sharing::{DecayingOutcomes, ServerKey, ServerStats};
 use tokio::time::Instant;
 
 /// What a server told of its load is trusted for so long.
@@ -47,7 +47,7 @@
     checked: Option<Instant>,
     /// Requests without an answer yet, by the number of their ticket.
     unanswered: Vec<(u64, Instant)>,
-    outcomes: Outcomes,
+    outcomes: DecayingOutcomes,
     outcomes_at: Instant,
     others: Option<Others>,
 }
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Others {
     in_flight: u32,
-    outcomes: Outcomes,
+    outcomes: DecayingOutcomes,
     suspected_by: u32,
     at: Instant,
 }
@@ -85,7 +85,7 @@
             suspected: false,
             checked: None,
             unanswered: Vec::new(),
-            outcomes: Outcomes::default(),
+            outcomes: DecayingOutcomes::default(),
             outcomes_at: Instant::now(),
             others: None,
         }
@@ -112,10 +112,10 @@
     /// The part of the answers of late that were failures, here and at others.
     fn trouble(&self, now: Instant) -> f64 {
         let mut own = self.outcomes;
-        own.fade(now - self.outcomes_at);
+        own.decay(now - self.outcomes_at);
         match self.fresh_others(now) {
-            Some(others) => own.with(&others.outcomes).trouble(),
-            None => own.trouble(),
+            Some(others) => own.combined_with(&others.outcomes).failure_ratio(),
+            None => own.failure_ratio(),
         }
     }
 
@@ -191,40 +191,41 @@
     }
 
     /// What this process has to tell of it.
-    pub fn own_use(&self, now: Instant) -> ServerUse {
+    pub fn own_use(&self, now: Instant) -> ServerStats {
         let mut outcomes = self.outcomes;
-        outcomes.fade(now - self.outcomes_at);
-        let (good_tenths, bad_tenths) = outcomes.tenths();
-        ServerUse {
-            server: ServerKey::of(&self.server.id),
+        outcomes.decay(now - self.outcomes_at);
+        let (success_tenths, failure_tenths) = outcomes.tenths();
+        ServerStats {
+            server: ServerKey::from_id(&self.server.id),
             in_flight: self.in_flight,
-            good_tenths,
-            bad_tenths,
+            success_tenths,
+            failure_tenths,
             suspected_by: u32::from(self.unreachable),
         }
     }
 
     /// What others told of it; none where they do not use it.
-    pub fn take_others(&mut self, told: Option<&ServerUse>, now: Instant) {
+    pub fn take_others(&mut self, told: Option<&ServerStats>, now: Instant) {
         self.others = Some(Others {
             in_flight: told.map_or(0, |told| told.in_flight),
-            outcomes: told
-                .map_or(Outcomes::default(), |told| Outcomes::from_tenths(told.good_tenths, told.bad_tenths)),
+            outcomes: told.map_or(DecayingOutcomes::default(), |told| {
+                DecayingOutcomes::from_tenths(told.success_tenths, told.failure_tenths)
+            }),
             suspected_by: told.map_or(0, |told| told.suspected_by),
             at: now,
         });
     }
 
-    fn count_outcome(&mut self, count: impl Fn(&mut Outcomes)) {
+    fn count_outcome(&mut self, count: impl Fn(&mut DecayingOutcomes)) {
         let now = Instant::now();
-        self.outcomes.fade(now - self.outcomes_at);
+        self.outcomes.decay(now - self.outcomes_at);
         self.outcomes_at = now;
         count(&mut self.outcomes);
     }
 
     /// A request was answered.
     pub fn answered(&mut self, load: Option<(u32, u32)>) {
-        self.count_outcome(Outcomes::add_good);
+        self.count_outcome(DecayingOutcomes::record_success);
         self.failures = 0;
         self.rests_until = None;
         self.unreachable = false;
@@ -235,7 +236,7 @@
 
     /// It broke off, was silent or is another server by now.
     pub fn failed(&mut self, policy: &Policy) {
-        self.count_outcome(Outcomes::add_bad);
+        self.count_outcome(DecayingOutcomes::record_failure);
         self.rest(policy);
     }
 
--- a/crates/upstream/src/share.rs
+++ b/crates/upstream/src/share.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_sharing::{Report, ServerKey, ServerUse, Sums};
+use fennelgauge_sharing::{ServerKey, ServerStats, StatsReport, StatsTotals};
 use fennelgauge_wire::{Caller, Reply, Request};
 use tokio::time::{sleep, Instant};
 
@@ -43,23 +43,24 @@
     }
 
     /// What this process has to tell.
-    fn uses(&self) -> Vec<ServerUse> {
+    fn uses(&self) -> Vec<ServerStats> {
         let now = Instant::now();
         let servers = self.servers.borrow();
         let unreachable = servers.values().filter(|seen| seen.is_unreachable()).count();
         let cut_off = unreachable as f64 > servers.len() as f64 * CUT_OFF_PART;
         let own = servers.values().map(|seen| match cut_off {
-            true => ServerUse { suspected_by: 0, ..seen.own_use(now) },
+            true => ServerStats { suspected_by: 0, ..seen.own_use(now) },
             false => seen.own_use(now),
         });
-        own.filter(|told| !told.is_none()).collect()
+        own.filter(|told| !told.is_empty()).collect()
     }
 
-    fn take_sums(&self, sums: &Sums) {
+    fn take_sums(&self, sums: &StatsTotals) {
         let now = Instant::now();
-        let told: HashMap<ServerKey, &ServerUse> = sums.uses.iter().map(|told| (told.server, told)).collect();
+        let told: HashMap<ServerKey, &ServerStats> =
+            sums.servers.iter().map(|told| (told.server, told)).collect();
         for seen in self.servers.borrow_mut().values_mut() {
-            let told = told.get(&ServerKey::of(&seen.server.id)).copied();
+            let told = told.get(&ServerKey::from_id(&seen.server.id)).copied();
             seen.take_others(told, now);
         }
     }
@@ -81,12 +82,12 @@
         }
         let Some(home) = source_at(source, &known, &subscription) else { continue };
         sequence += 1;
-        let report = Report { life, sequence, uses: pool.uses() };
-        let told = report.uses.len();
+        let report = StatsReport { incarnation: life, sequence, servers: pool.uses() };
+        let told = report.servers.len();
         match caller.call(home, Request::Uses(report), ANSWER_TIMEOUT).await {
             Ok(Reply::Uses(sums)) => {
                 pool.take_sums(&sums);
-                pause = pause_for(told + sums.uses.len());
+                pause = pause_for(told + sums.servers.len());
             }
             _ => source += 1,
         }
--- a/crates/upstream/src/share/tests.rs
+++ b/crates/upstream/src/share/tests.rs
@@ -5,10 +5,10 @@
 use crate::Demand;
 use fennelgauge_settings::Policy;
 
-fn told(id: &str, change: impl Fn(&mut ServerUse)) -> Sums {
-    let mut told = ServerUse::none(ServerKey::of(id));
+fn told(id: &str, change: impl Fn(&mut ServerStats)) -> StatsTotals {
+    let mut told = ServerStats::empty(ServerKey::from_id(id));
     change(&mut told);
-    Sums { reporters: 3, uses: vec![told] }
+    StatsTotals { reporters: 3, servers: vec![told] }
 }
 
 #[test]
@@ -19,9 +19,9 @@
         assert_eq!(part_of_a(&pool), 0, "others keep it busy");
         advance(Duration::from_millis(600)).await;
         assert!(part_of_a(&pool) > 0, "old news do not count");
-        pool.take_sums(&told("a", |told| told.bad_tenths = 90));
+        pool.take_sums(&told("a", |told| told.failure_tenths = 90));
         assert_eq!(part_of_a(&pool), 0, "it fails for others");
-        pool.take_sums(&Sums::default());
+        pool.take_sums(&StatsTotals::default());
         assert!(part_of_a(&pool) > 0, "nobody uses it any more");
     });
 }
@@ -45,7 +45,10 @@
         let ticket = pool.choose("s", &["b".to_owned()], &Demand::default()).expect("a");
         pool.answered(&ticket, None);
         let uses = pool.uses();
-        assert_eq!((uses[0].server, uses[0].in_flight, uses[0].good_tenths), (ServerKey::of("a"), 1, 10));
+        assert_eq!(
+            (uses[0].server, uses[0].in_flight, uses[0].success_tenths),
+            (ServerKey::from_id("a"), 1, 10)
+        );
         drop(ticket);
         pool.not_reached("b");
         let suspected = |pool: &Pool| pool.uses().iter().map(|told| told.suspected_by).sum::<u32>();
@@ -72,9 +75,10 @@
                 let ticket = pool.choose("s", &[], &Demand::default()).expect("a server");
                 pool.answered(&ticket, load);
             }
-            let mut uses: Vec<ServerUse> = ["a", "b"].map(|id| ServerUse::none(ServerKey::of(id))).to_vec();
+            let mut uses: Vec<ServerStats> =
+                ["a", "b"].map(|id| ServerStats::empty(ServerKey::from_id(id))).to_vec();
             uses.iter_mut().for_each(|told| told.in_flight = 4);
-            pool.take_sums(&Sums { reporters: 3, uses });
+            pool.take_sums(&StatsTotals { reporters: 3, servers: uses });
             let chosen: Vec<String> = (0..100)
                 .filter_map(|_| pool.choose("s", &[], &Demand::default()))
                 .map(|ticket| ticket.server.id.clone())
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -27,12 +27,12 @@
 impl Subscription {
     /// As the settings say. The seeds are read anew from the settings file: it may change while the process runs.
     pub fn new(settings: &Settings) -> Self {
-        let fallback = settings.seed_peers();
+        let fallback = settings.seed_peer_addresses();
         Self {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             seeds: Box::new(move || match Settings::from_environment() {
-                Ok(settings) => settings.seed_peers(),
+                Ok(settings) => settings.seed_peer_addresses(),
                 Err(_) => fallback.clone(),
             }),
         }
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -55,7 +55,7 @@
 
 fn pool(servers: Vec<Server>) -> Pool {
     let pool = Pool::new("z", &Policy::default());
-    pool.update(&ServerList { version: 1, reader: 1, servers });
+    pool.update(&ServerList { version: 1, reader_incarnation: 1, servers });
     pool
 }
 
@@ -172,7 +172,7 @@
     runtime.block_on(async {
         tokio::time::advance(Duration::from_secs(10)).await;
         let known = Known::default();
-        let list = |version| ServerList { version, reader: version, servers: vec![] };
+        let list = |version| ServerList { version, reader_incarnation: version, servers: vec![] };
         known.take_servers(Some(list(1)), Duration::from_millis(100));
         known.take_servers(Some(list(2)), Duration::from_millis(900));
         assert_eq!(known.servers().version, 1);
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -8,7 +8,7 @@
 };
 use fennelgauge_model::ServerList;
 use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
-use fennelgauge_sharing::{Report, Sums};
+use fennelgauge_sharing::{StatsReport, StatsTotals};
 
 /// A message with the number of its call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// A store is there, and what it tells of its groups; to the head of the core.
     StorePresence(StorePresence),
     /// The servers that a process uses, to its home.
-    Uses(Report),
+    Uses(StatsReport),
 }
 
 /// What is answered.
@@ -41,7 +41,7 @@
     Core(CoreReply),
     Store(StoreReply),
     /// The servers that the home's other reporters use.
-    Uses(Sums),
+    Uses(StatsTotals),
     /// Taken notice of.
     Noted,
     /// The asked process does not do that.
