--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -8,7 +8,7 @@
     GIVE_UP_AFTER,
 };
 use fennelgauge_upstream::wall_clock;
-use fennelgauge_wire::{GiveUpReply, GroupReply, GroupReport};
+use fennelgauge_wire::{GiveUpReply, GroupStatus, GroupStatusReply};
 
 use super::orders::WriteError;
 use super::Core;
@@ -23,16 +23,16 @@
 
 impl Core {
     /// What is known of a group, at the head.
-    pub(super) async fn group_here(self: &Rc<Self>, group: GroupNumber) -> GroupReply {
+    pub(super) async fn group_here(self: &Rc<Self>, group: GroupNumber) -> GroupStatusReply {
         if !self.is_head() || !self.has_heard_the_stores() || !self.stands().await {
-            return GroupReply::Unavailable;
+            return GroupStatusReply::Unavailable;
         }
-        let Some(state) = self.committed_state() else { return GroupReply::Unavailable };
+        let Some(state) = self.committed_state() else { return GroupStatusReply::Unavailable };
         let view = &state.small.stores;
-        let Some(held) = view.group(group) else { return GroupReply::UnknownGroup };
+        let Some(held) = view.group(group) else { return GroupStatusReply::UnknownGroup };
         let node = |number: &StoreNumber| view.store(*number).map(|store| store.member.identity.node.clone());
         let names = |numbers: Vec<StoreNumber>| numbers.iter().filter_map(node).collect();
-        GroupReply::Known(GroupReport {
+        GroupStatusReply::Found(GroupStatus {
             group: group.0,
             view: view.epoch,
             is_open: held.is_open(),
@@ -74,7 +74,7 @@
             Ok(Err(NotNow::Taken)) => GiveUpReply::Done,
             Ok(Err(NotNow::Refused(reason))) if self.stands().await => GiveUpReply::Refused(reason),
             Ok(Err(NotNow::Refused(_))) | Err(WriteError::NotTaken) => GiveUpReply::Unavailable,
-            Err(WriteError::Unknown) => GiveUpReply::Unknown,
+            Err(WriteError::Unknown) => GiveUpReply::OutcomeUnknown,
         }
     }
 
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::Progress;
-use fennelgauge_wire::{ConfigurationBytes, CoreReply, CoreRequest, Order, OrderReply, RetireReply};
+use fennelgauge_wire::{
+    ChangeReply, ConfigurationBytes, ConfigurationChange, CoreReply, CoreRequest, RetireReply,
+};
 use tokio::time::{timeout_at, Instant};
 
 use super::Core;
@@ -30,11 +32,13 @@
     /// Answers what control processes ask.
     pub async fn answer(self: &Rc<Self>, request: CoreRequest) -> CoreReply {
         match request {
-            CoreRequest::Order(order) => CoreReply::Ordered(self.order_here(&order).await),
-            CoreRequest::Read => CoreReply::Configuration(self.read_here().await),
+            CoreRequest::ChangeConfiguration(order) => {
+                CoreReply::ChangeConfiguration(self.order_here(&order).await)
+            }
+            CoreRequest::ReadConfiguration => CoreReply::Configuration(self.read_here().await),
             CoreRequest::RetireStart { node } => CoreReply::Retire(self.retire_here(&node).await),
-            CoreRequest::RetireState { node } => CoreReply::Retire(self.retire_state_here(&node).await),
-            CoreRequest::Group(group) => CoreReply::Group(self.group_here(group).await),
+            CoreRequest::RetireStatus { node } => CoreReply::Retire(self.retire_state_here(&node).await),
+            CoreRequest::GroupStatus(group) => CoreReply::GroupStatus(self.group_here(group).await),
             CoreRequest::GiveUp(order) => CoreReply::GiveUp(self.give_up_here(&order).await),
         }
     }
@@ -89,24 +93,24 @@
     }
 
     /// An order of the operator's, at the head.
-    pub(super) async fn order_here(self: &Rc<Self>, order: &Order) -> OrderReply {
+    pub(super) async fn order_here(self: &Rc<Self>, order: &ConfigurationChange) -> ChangeReply {
         let written = self
             .write(|state| match state.decide(order) {
                 Decision::New(_) => Ok(StateChange::Order(order.clone())),
-                Decision::Known => Err(OrderReply::Acknowledged),
-                Decision::Forgotten => Err(OrderReply::Unavailable),
-                Decision::Conflict { current } => Err(OrderReply::Conflict { current }),
-                Decision::Invalid(reason) => Err(OrderReply::Invalid(reason)),
+                Decision::Known => Err(ChangeReply::Acknowledged),
+                Decision::Forgotten => Err(ChangeReply::Unavailable),
+                Decision::Conflict { current } => Err(ChangeReply::Conflict { current_generation: current }),
+                Decision::Invalid(reason) => Err(ChangeReply::Invalid(reason)),
             })
             .await;
         match written {
-            Ok(Ok(())) => OrderReply::Acknowledged,
+            Ok(Ok(())) => ChangeReply::Acknowledged,
             // What is known is committed: no later view can lose it.
-            Ok(Err(OrderReply::Acknowledged)) => OrderReply::Acknowledged,
+            Ok(Err(ChangeReply::Acknowledged)) => ChangeReply::Acknowledged,
             Ok(Err(answer)) if self.stands().await => answer,
-            Ok(Err(_)) => OrderReply::Unavailable,
-            Err(WriteError::NotTaken) => OrderReply::Unavailable,
-            Err(WriteError::Unknown) => OrderReply::Unknown,
+            Ok(Err(_)) => ChangeReply::Unavailable,
+            Err(WriteError::NotTaken) => ChangeReply::Unavailable,
+            Err(WriteError::Unknown) => ChangeReply::OutcomeUnknown,
         }
     }
 
@@ -154,7 +158,7 @@
         return Err(RetireReply::UnknownNode);
     }
     if stores.iter().filter(|store| !store.retiring).count() <= fewest {
-        return Err(RetireReply::TooFew);
+        return Err(RetireReply::TooFewStores);
     }
     Ok(StateChange::Retire { node: node.to_owned() })
 }
--- a/crates/control-plane/src/core/storage/tests.rs
+++ b/crates/control-plane/src/core/storage/tests.rs
@@ -1,7 +1,7 @@
 use std::path::{Path, PathBuf};
 
 use fennelgauge_coordination::{Acceptor, Ballot, Replicated};
-use fennelgauge_wire::{Order, OrderKind};
+use fennelgauge_wire::{ChangeKind, ConfigurationChange};
 
 use super::*;
 use crate::state::{Decision, StateChange};
@@ -28,7 +28,11 @@
 
 fn configured(generation: u64) -> ControlState {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes();
-    match ControlState::default().decide(&Order { kind: OrderKind::Put, base: 0, body }) {
+    match ControlState::default().decide(&ConfigurationChange {
+        kind: ChangeKind::Put,
+        base_generation: 0,
+        body,
+    }) {
         Decision::New(state) => *state,
         other => panic!("{other:?}"),
     }
--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -2,7 +2,9 @@
 
 use std::path::Path;
 
-use fennelgauge_wire::{serve, CoreReply, CoreRequest, Order, OrderKind, OrderReply, Reply, Watch};
+use fennelgauge_wire::{
+    serve, ChangeKind, ChangeReply, ConfigurationChange, CoreReply, CoreRequest, Reply, WatchRequest,
+};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
 use super::*;
@@ -62,15 +64,15 @@
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
             spawn_local(core.hear(*envelope));
-            Reply::Noted
+            Reply::Acknowledged
         }
-        _ => Reply::NotHere,
+        _ => Reply::Unsupported,
     }
 }
 
-fn order(base: u64, generation: u64) -> Order {
+fn order(base: u64, generation: u64) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes();
-    Order { kind: OrderKind::Put, base, body }
+    ConfigurationChange { kind: ChangeKind::Put, base_generation: base, body }
 }
 
 /// Waits for a machine of which something is true.
@@ -85,12 +87,12 @@
     }
 }
 
-async fn acknowledged(core: &Rc<Core>, order: &Order) {
+async fn acknowledged(core: &Rc<Core>, order: &ConfigurationChange) {
     let began = Instant::now();
     loop {
         match core.order_here(order).await {
-            OrderReply::Acknowledged => return,
-            OrderReply::Unavailable | OrderReply::Unknown => {}
+            ChangeReply::Acknowledged => return,
+            ChangeReply::Unavailable | ChangeReply::OutcomeUnknown => {}
             other => panic!("{other:?}"),
         }
         assert!(began.elapsed() < PATIENCE, "an order takes too long");
@@ -103,16 +105,16 @@
         let machines = three(0).await;
         let head = until(&machines, "a head", |core| core.is_head()).await;
         acknowledged(&head, &order(0, 7)).await;
-        assert_eq!(head.order_here(&order(0, 7)).await, OrderReply::Acknowledged, "known by its content");
-        assert_eq!(head.order_here(&order(0, 9)).await, OrderReply::Conflict { current: 7 });
+        assert_eq!(head.order_here(&order(0, 7)).await, ChangeReply::Acknowledged, "known by its content");
+        assert_eq!(head.order_here(&order(0, 9)).await, ChangeReply::Conflict { current_generation: 7 });
         for machine in &machines {
             until(std::slice::from_ref(machine), "news", |core| core.known.generation() >= 7).await;
             let is_tail = machine.core.view().tail() == Some(&machine.core.me);
             assert_eq!(machine.core.read_here().await.is_some(), is_tail, "only the tail answers reads");
             let other = machine.core.order_here(&order(7, 8)).await;
-            assert_eq!(other == OrderReply::Unavailable, !machine.core.is_head());
+            assert_eq!(other == ChangeReply::Unavailable, !machine.core.is_head());
             if machine.core.is_head() {
-                assert_eq!(other, OrderReply::Acknowledged);
+                assert_eq!(other, ChangeReply::Acknowledged);
             }
         }
     });
@@ -132,12 +134,18 @@
         // What the machine that was cut off says of anything.
         for asked in [order(7, 8), order(7, 9), order(0, 9), order(8, 9)] {
             let said = old.core.order_here(&asked).await;
-            assert!(matches!(said, OrderReply::Unavailable | OrderReply::Unknown), "{asked:?}: {said:?}");
+            assert!(
+                matches!(said, ChangeReply::Unavailable | ChangeReply::OutcomeUnknown),
+                "{asked:?}: {said:?}"
+            );
         }
-        let retire = old.core.answer(CoreRequest::RetireState { node: "x".to_owned() }).await;
+        let retire = old.core.answer(CoreRequest::RetireStatus { node: "x".to_owned() }).await;
         assert!(matches!(retire, CoreReply::Retire(fennelgauge_wire::RetireReply::Unavailable)));
-        assert!(matches!(old.core.answer(CoreRequest::Read).await, CoreReply::Configuration(None)));
-        let watch = Watch { have: Default::default(), wait_ms: 0 };
+        assert!(matches!(
+            old.core.answer(CoreRequest::ReadConfiguration).await,
+            CoreReply::Configuration(None)
+        ));
+        let watch = WatchRequest { known: Default::default(), wait_ms: 0 };
         let began = Instant::now();
         while old.core.known.answer_in_touch(&watch).await.configuration.is_some() {
             assert!(began.elapsed() < PATIENCE, "it hands out an old configuration");
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -53,13 +53,15 @@
 impl UsageCollector {
     /// A process told its counts so far.
     pub fn hear(&self, report: UsageReport) {
-        self.hear_timeliness((report.node.clone(), report.life), &report.timeliness);
-        self.told_at.borrow_mut().insert((report.node.clone(), report.life), wall_clock().as_secs_f64());
+        self.hear_timeliness((report.node.clone(), report.incarnation), &report.timeliness);
+        self.told_at
+            .borrow_mut()
+            .insert((report.node.clone(), report.incarnation), wall_clock().as_secs_f64());
         let mut windows = self.windows.borrow_mut();
         for counted in report.windows {
-            let process = (report.node.clone(), report.life);
+            let process = (report.node.clone(), report.incarnation);
             let counts = windows.entry(counted.window).or_default().entry(process).or_default();
-            for (tenant, count) in counted.counts {
+            for (tenant, count) in counted.tenant_counts {
                 let known = counts.entry(tenant).or_default();
                 *known = count.max(*known);
             }
@@ -76,9 +78,9 @@
         let mut fresh = self.fresh.borrow_mut();
         for now in told {
             let then = before.iter().find(|then| then.service == now.service);
-            let (answers, late) = then.map_or((0, 0), |then| (then.answers, then.late));
+            let (answers, late) = then.map_or((0, 0), |then| (then.responses, then.late));
             let counts = fresh.entry(now.service.clone()).or_default();
-            counts.0 += now.answers.saturating_sub(answers);
+            counts.0 += now.responses.saturating_sub(answers);
             counts.1 += now.late.saturating_sub(late);
         }
     }
--- a/crates/control-plane/src/duties/tests.rs
+++ b/crates/control-plane/src/duties/tests.rs
@@ -4,8 +4,8 @@
 
 fn report(node: &str, life: u64, window: u64, count: u64) -> UsageReport {
     let counts = vec![("t".to_owned(), count)];
-    let windows = vec![WindowCounts { window, counts }];
-    UsageReport { node: node.to_owned(), life, windows, timeliness: Vec::new() }
+    let windows = vec![WindowCounts { window, tenant_counts: counts }];
+    UsageReport { node: node.to_owned(), incarnation: life, windows, timeliness: Vec::new() }
 }
 
 #[test]
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -10,7 +10,8 @@
 use actix_web::{HttpRequest, HttpResponse};
 use fennelgauge_coordination::Member;
 use fennelgauge_wire::{
-    ConfigurationBytes, CoreReply, CoreRequest, Order, OrderKind, OrderReply, Reply, Request, RetireReply,
+    ChangeKind, ChangeReply, ConfigurationBytes, ConfigurationChange, CoreReply, CoreRequest, Reply, Request,
+    RetireReply,
 };
 
 use crate::core::Core;
@@ -39,16 +40,16 @@
 }
 
 async fn put(request: HttpRequest, body: Bytes, operator: Data<Operator>) -> HttpResponse {
-    operator.order(OrderKind::Put, &request, body).await
+    operator.order(ChangeKind::Put, &request, body).await
 }
 
 async fn patch(request: HttpRequest, body: Bytes, operator: Data<Operator>) -> HttpResponse {
-    operator.order(OrderKind::Patch, &request, body).await
+    operator.order(ChangeKind::Patch, &request, body).await
 }
 
 async fn get(operator: Data<Operator>) -> HttpResponse {
     let tail = |view: &fennelgauge_coordination::View| view.tail().cloned();
-    match operator.ask(tail, CoreRequest::Read, READ_TIMEOUT).await {
+    match operator.ask(tail, CoreRequest::ReadConfiguration, READ_TIMEOUT).await {
         Some(CoreReply::Configuration(Some(ConfigurationBytes(json)))) => {
             HttpResponse::Ok().content_type("application/json").body(json)
         }
@@ -61,11 +62,11 @@
 }
 
 async fn retire_get(node: web::Path<String>, operator: Data<Operator>) -> HttpResponse {
-    operator.retire(CoreRequest::RetireState { node: node.into_inner() }, false).await
+    operator.retire(CoreRequest::RetireStatus { node: node.into_inner() }, false).await
 }
 
 impl Operator {
-    async fn order(&self, kind: OrderKind, request: &HttpRequest, body: Bytes) -> HttpResponse {
+    async fn order(&self, kind: ChangeKind, request: &HttpRequest, body: Bytes) -> HttpResponse {
         let base = request.headers().get(fennelgauge_upstream::BASE_VERSION);
         let base = base.and_then(|value| value.to_str().ok()?.trim().parse().ok());
         let Some(base) = base else {
@@ -74,10 +75,10 @@
         if let Err(reason) = serde_json::from_slice::<serde::de::IgnoredAny>(&body) {
             return refusal(StatusCode::BAD_REQUEST, &format!("the body is no whole JSON: {reason}"));
         }
-        let order = Order { kind, base, body: body.to_vec() };
+        let order = ConfigurationChange { kind, base_generation: base, body: body.to_vec() };
         let head = |view: &fennelgauge_coordination::View| view.head().cloned();
-        match self.ask(head, CoreRequest::Order(order), ORDER_TIMEOUT).await {
-            Some(CoreReply::Ordered(reply)) => answered(reply),
+        match self.ask(head, CoreRequest::ChangeConfiguration(order), ORDER_TIMEOUT).await {
+            Some(CoreReply::ChangeConfiguration(reply)) => answered(reply),
             _ => {
                 refusal(StatusCode::GATEWAY_TIMEOUT, "the order may have been taken: send it again unchanged")
             }
@@ -95,7 +96,7 @@
             RetireReply::Running => state("running"),
             RetireReply::Succeeded => state("succeeded"),
             RetireReply::UnknownNode => refusal(StatusCode::NOT_FOUND, "no store has that name"),
-            RetireReply::TooFew => {
+            RetireReply::TooFewStores => {
                 refusal(StatusCode::CONFLICT, "too few stores would be left: add one first")
             }
             RetireReply::Unavailable => {
@@ -127,16 +128,16 @@
     }
 }
 
-fn answered(reply: OrderReply) -> HttpResponse {
+fn answered(reply: ChangeReply) -> HttpResponse {
     match reply {
-        OrderReply::Acknowledged => HttpResponse::Ok().finish(),
-        OrderReply::Conflict { current } => {
+        ChangeReply::Acknowledged => HttpResponse::Ok().finish(),
+        ChangeReply::Conflict { current_generation: current } => {
             let reason = format!("version {current} is current: build on it");
             refusal(StatusCode::PRECONDITION_FAILED, &reason)
         }
-        OrderReply::Invalid(reason) => refusal(StatusCode::BAD_REQUEST, &reason),
-        OrderReply::Unavailable => refusal(StatusCode::SERVICE_UNAVAILABLE, "not taken: send it again"),
-        OrderReply::Unknown => {
+        ChangeReply::Invalid(reason) => refusal(StatusCode::BAD_REQUEST, &reason),
+        ChangeReply::Unavailable => refusal(StatusCode::SERVICE_UNAVAILABLE, "not taken: send it again"),
+        ChangeReply::OutcomeUnknown => {
             refusal(StatusCode::GATEWAY_TIMEOUT, "the order may have been taken: send it again unchanged")
         }
     }
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -4,7 +4,7 @@
 use actix_web::web::{self, Bytes, Data};
 use actix_web::HttpResponse;
 use fennelgauge_coordination::{GiveUp, GiveUpRefusal, GivenUp, GroupNumber, HolderSeen, LastHolder, View};
-use fennelgauge_wire::{CoreReply, CoreRequest, GiveUpReply, GroupReply, GroupReport};
+use fennelgauge_wire::{CoreReply, CoreRequest, GiveUpReply, GroupStatus, GroupStatusReply};
 use serde::{Deserialize, Serialize};
 
 use super::{refusal, Operator, ORDER_TIMEOUT};
@@ -54,9 +54,11 @@
 pub async fn get(group: web::Path<String>, operator: Data<Operator>) -> HttpResponse {
     let Some(group) = number(&group) else { return unknown_group(&group) };
     let head = |view: &View| view.head().cloned();
-    match operator.ask(head, CoreRequest::Group(group), ORDER_TIMEOUT).await {
-        Some(CoreReply::Group(GroupReply::Known(report))) => HttpResponse::Ok().json(GroupBody::from(report)),
-        Some(CoreReply::Group(GroupReply::UnknownGroup)) => {
+    match operator.ask(head, CoreRequest::GroupStatus(group), ORDER_TIMEOUT).await {
+        Some(CoreReply::GroupStatus(GroupStatusReply::Found(report))) => {
+            HttpResponse::Ok().json(GroupBody::from(report))
+        }
+        Some(CoreReply::GroupStatus(GroupStatusReply::UnknownGroup)) => {
             refusal(StatusCode::NOT_FOUND, "no group was placed yet, or none has that number")
         }
         _ => refusal(StatusCode::SERVICE_UNAVAILABLE, "the core cannot say: ask again"),
@@ -104,8 +106,8 @@
     refusal(status, &reason.to_string())
 }
 
-impl From<GroupReport> for GroupBody {
-    fn from(report: GroupReport) -> Self {
+impl From<GroupStatus> for GroupBody {
+    fn from(report: GroupStatus) -> Self {
         let holder = |HolderSeen { holder, silent_for }: HolderSeen| HolderBody {
             node: holder.node,
             entries: holder.entries,
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Heard, Identity, Planner, StoreNumber, StoreView};
-use fennelgauge_wire::StorePresence;
+use fennelgauge_wire::StoreHeartbeat;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -59,8 +59,8 @@
 
 impl Presence {
     /// A store told of itself.
-    pub fn hear(&self, told: StorePresence) {
-        let StorePresence { heard, entries, accepted } = told;
+    pub fn hear(&self, told: StoreHeartbeat) {
+        let StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted } = told;
         self.take_names(accepted);
         let at = Instant::now();
         let identity = heard.member.identity.clone();
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fennelgauge_upstream::{client, read_list, Reader};
-use fennelgauge_wire::{Have, Reply, Request, Watch};
+use fennelgauge_wire::{KnownVersions, Reply, Request, WatchRequest};
 use tokio::time::{sleep, Instant};
 
 use crate::core::Core;
@@ -43,12 +43,17 @@
             sleep(FOLLOW_WAIT).await;
             continue;
         };
-        let have = Have { generation: u64::MAX, stores: u64::MAX, view: u64::MAX, ..core.known.have() };
-        let watch = Request::Watch(Watch { have, wait_ms: FOLLOW_WAIT.as_millis() as u64 });
+        let have = KnownVersions {
+            generation: u64::MAX,
+            store_view: u64::MAX,
+            core_view: u64::MAX,
+            ..core.known.have()
+        };
+        let watch = Request::Watch(WatchRequest { known: have, wait_ms: FOLLOW_WAIT.as_millis() as u64 });
         match core.caller.call(head.peer, watch, FOLLOW_WAIT * 2).await {
-            Ok(Reply::News(news)) => {
-                let age = Duration::from_millis(news.servers_age_ms);
-                core.known.take_servers(news.servers, age);
+            Ok(Reply::Watch(news)) => {
+                let age = Duration::from_millis(news.server_list_age_ms);
+                core.known.take_servers(news.server_list, age);
             }
             _ => sleep(FOLLOW_WAIT / 2).await,
         }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -32,7 +32,7 @@
 
 async fn run_core(settings: Rc<Settings>) -> anyhow::Result<()> {
     let known = Rc::new(Known::of_source());
-    let caller = Caller::leaving_from(settings.calls_leave_from());
+    let caller = Caller::with_source(settings.calls_leave_from());
     let told = settings.told_peer_address();
     let core = Core::open(settings.clone(), known.clone(), caller.clone(), told)?;
     let collector = Rc::new(UsageCollector::default());
@@ -68,28 +68,28 @@
 async fn answer(answering: Answering, request: Request) -> Reply {
     let Answering { core, collector, home, began } = answering;
     match request {
-        Request::Uses(report) => match home.borrow_mut().report(report, began.elapsed()) {
-            Ok(sums) => Reply::Uses(sums),
+        Request::ServerLoad(report) => match home.borrow_mut().report(report, began.elapsed()) {
+            Ok(sums) => Reply::ServerLoad(sums),
             Err(reason) => {
                 log::warn!("{reason}");
-                Reply::NotHere
+                Reply::Unsupported
             }
         },
-        Request::Watch(watch) => Reply::News(Box::new(core.known.answer_in_touch(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(core.known.answer_in_touch(&watch).await)),
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
             spawn_local(core.hear(*envelope));
-            Reply::Noted
+            Reply::Acknowledged
         }
-        Request::StorePresence(told) => {
+        Request::StoreHeartbeat(told) => {
             core.presence.hear(told);
-            Reply::Noted
+            Reply::Acknowledged
         }
         Request::Usage(report) => {
             collector.hear(report);
-            Reply::Noted
+            Reply::Acknowledged
         }
-        Request::Store(_) => Reply::NotHere,
+        Request::Store(_) => Reply::Unsupported,
     }
 }
 
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -6,7 +6,7 @@
 use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
 use fennelgauge_encoding::{packed, unpacked};
 use fennelgauge_model::{patched, Document};
-use fennelgauge_wire::{decode, encode, Order, OrderKind};
+use fennelgauge_wire::{decode, encode, ChangeKind, ConfigurationChange};
 use serde::{Deserialize, Serialize};
 
 /// Orders whose content is remembered, so that one sent again is known.
@@ -101,11 +101,11 @@
 }
 
 impl TakenOrder {
-    fn of(order: &Order) -> Self {
-        let mut whole = order.base.to_le_bytes().to_vec();
+    fn of(order: &ConfigurationChange) -> Self {
+        let mut whole = order.base_generation.to_le_bytes().to_vec();
         whole.push(order.kind as u8);
         whole.extend_from_slice(&order.body);
-        Self { base: order.base, digest: content_digest(&whole) }
+        Self { base: order.base_generation, digest: content_digest(&whole) }
     }
 }
 
@@ -119,7 +119,7 @@
 /// One change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateChange {
-    Order(Order),
+    Order(ConfigurationChange),
     /// Fixes the counts of a window.
     Usage {
         window: u64,
@@ -196,20 +196,20 @@
     }
 
     /// Decides about an order.
-    pub fn decide(&self, order: &Order) -> Decision {
+    pub fn decide(&self, order: &ConfigurationChange) -> Decision {
         let taken = TakenOrder::of(order);
         if self.small.orders.contains(&taken) {
             return Decision::Known;
         }
-        if order.base != self.small.generation {
-            return match self.small.forgotten_base >= Some(order.base) {
+        if order.base_generation != self.small.generation {
+            return match self.small.forgotten_base >= Some(order.base_generation) {
                 true => Decision::Forgotten,
                 false => Decision::Conflict { current: self.small.generation },
             };
         }
         let document = match order.kind {
-            OrderKind::Put => Document::parse(&order.body, self.small.generation),
-            OrderKind::Patch => patched(self.configuration.json(), &order.body)
+            ChangeKind::Put => Document::parse(&order.body, self.small.generation),
+            ChangeKind::Patch => patched(self.configuration.json(), &order.body)
                 .and_then(|json| Document::parse(&json, self.small.generation)),
         };
         match document {
--- a/crates/control-plane/src/state/tests.rs
+++ b/crates/control-plane/src/state/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn order(base: u64, generation: u64, note: &str) -> Order {
+fn order(base: u64, generation: u64, note: &str) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"note":"{note}","routes":[],"services":[]}}"#);
-    Order { kind: OrderKind::Put, base, body: body.into_bytes() }
+    ConfigurationChange { kind: ChangeKind::Put, base_generation: base, body: body.into_bytes() }
 }
 
-fn taken(state: &ControlState, order: &Order) -> ControlState {
+fn taken(state: &ControlState, order: &ConfigurationChange) -> ControlState {
     state.apply(&StateChange::Order(order.clone()).written()).expect("taken")
 }
 
@@ -26,8 +26,8 @@
     }
     assert!(matches!(state.decide(&order(7, 7, "e")), Decision::Invalid(_)));
     assert!(matches!(state.decide(&order(7, 8, "e")), Decision::New(_)));
-    let patch = Order { kind: OrderKind::Patch, ..order(7, 8, "e") };
-    let put = Order { kind: OrderKind::Put, ..order(7, 8, "e") };
+    let patch = ConfigurationChange { kind: ChangeKind::Patch, ..order(7, 8, "e") };
+    let put = ConfigurationChange { kind: ChangeKind::Put, ..order(7, 8, "e") };
     let state = taken(&state, &put);
     assert_eq!(state.decide(&put), Decision::Known);
     assert_eq!(state.decide(&patch), Decision::Conflict { current: 8 }, "another kind of order");
--- a/crates/control-plane/src/store/costs.rs
+++ b/crates/control-plane/src/store/costs.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use fennelgauge_wire::{Sent, StoreCosts};
+use fennelgauge_wire::{CallStats, StoreCounters};
 
 /// Writes of the journal, counted by its thread.
 #[derive(Clone, Debug, Default)]
@@ -37,13 +37,13 @@
 }
 
 /// All of it as it is told.
-pub fn told(writes: &Writes, made: &Made, sent: Sent) -> StoreCosts {
-    StoreCosts {
-        syncs: writes.syncs.load(Ordering::Relaxed),
-        synced_bytes: writes.bytes.load(Ordering::Relaxed),
+pub fn told(writes: &Writes, made: &Made, sent: CallStats) -> StoreCounters {
+    StoreCounters {
+        journal_syncs: writes.syncs.load(Ordering::Relaxed),
+        journal_bytes: writes.bytes.load(Ordering::Relaxed),
         calls: sent.calls,
         call_bytes: sent.bytes,
-        entries: made.entries.get(),
-        results: made.results.get(),
+        head_entries: made.entries.get(),
+        head_results: made.results.get(),
     }
 }
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -50,7 +50,7 @@
     /// One step towards the head's state of a group; true once little is missing.
     pub(super) async fn learn_group(&self, epoch: u64, group: GroupNumber, head: SocketAddr) -> bool {
         let after = self.replica(group).borrow().position();
-        match self.ask(head, StoreRequest::Fetch { epoch, group, after }, FETCH_TIMEOUT).await {
+        match self.ask(head, StoreRequest::FetchEntries { epoch, group, after }, FETCH_TIMEOUT).await {
             Some(StoreReply::Entries(batch)) => {
                 let lacked = batch.entries.len();
                 let taken = self.replica(group).borrow_mut().learn(epoch, &batch);
@@ -78,15 +78,15 @@
         let role = view.and_then(|view| self.role(&view, group));
         let until = Instant::now() + COPY_TIMEOUT;
         let missing = self.replica(group).borrow().missing_for_learner(role.as_ref(), group, after);
-        let Some(missing) = missing else { return StoreReply::OtherEpoch(self.view().epoch) };
+        let Some(missing) = missing else { return StoreReply::EpochMismatch(self.view().epoch) };
         match missing {
             Missing::Entries(batch) => match self.synced(group, batch.end, until).await {
                 true => StoreReply::Entries(batch),
-                false => StoreReply::Unsure,
+                false => StoreReply::Undetermined,
             },
             Missing::Copy => match self.copy_on_disk(group, until).await {
                 Some(copy) => StoreReply::Copy(copy),
-                None => StoreReply::Unsure,
+                None => StoreReply::Undetermined,
             },
         }
     }
--- a/crates/control-plane/src/store/level.rs
+++ b/crates/control-plane/src/store/level.rs
@@ -41,7 +41,7 @@
                 }
             }
             let checks = asked.into_iter().map(|(peer, groups)| {
-                let check = StoreRequest::Check { epoch: view.epoch, groups };
+                let check = StoreRequest::RecheckGroups { epoch: view.epoch, groups };
                 self.ask(peer, check, ASK_TIMEOUT)
             });
             join_all(checks).await;
@@ -73,13 +73,13 @@
     /// A successor is not level in some groups: it is looked after.
     pub(super) fn check_again(&self, epoch: u64, groups: &[GroupNumber]) -> StoreReply {
         if self.view().epoch != epoch {
-            return StoreReply::OtherEpoch(self.view().epoch);
+            return StoreReply::EpochMismatch(self.view().epoch);
         }
         let mut checked = self.checked.borrow_mut();
         for group in groups {
             checked.remove(group);
         }
-        StoreReply::Noted
+        StoreReply::Acknowledged
     }
 
     /// A head stands where its chain stands; a group that was given up it begins anew.
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -109,8 +109,8 @@
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
-        Request::Watch(watch) => Reply::News(Box::new(store.known.answer(&watch).await)),
-        _ => Reply::NotHere,
+        Request::Watch(watch) => Reply::Watch(Box::new(store.known.answer(&watch).await)),
+        _ => Reply::Unsupported,
     }
 }
 
@@ -132,7 +132,7 @@
             me,
             pool: Pool::new(&settings.zone, &settings.policy),
             sender: Sender::new(&settings.policy),
-            caller: Caller::leaving_from(settings.calls_leave_from()),
+            caller: Caller::with_source(settings.calls_leave_from()),
             settings,
             known: Rc::default(),
             journal,
@@ -159,24 +159,24 @@
 
     async fn answer(self: &Rc<Self>, request: StoreRequest) -> StoreReply {
         match request {
-            StoreRequest::Submit { epoch, group, job, most_queued } => {
+            StoreRequest::Submit { epoch, group, job, max_queued: most_queued } => {
                 self.submit(epoch, group, job, most_queued).await
             }
-            StoreRequest::End { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
-            StoreRequest::Read { epoch, group, tenant, job, start, wait_ms } => {
+            StoreRequest::Cancel { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
+            StoreRequest::ReadResults { epoch, group, tenant, job, start_after: start, wait_ms } => {
                 let query = Query { tenant, job, start };
                 self.read(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
-            StoreRequest::Body { epoch, group, tenant, job, item } => {
+            StoreRequest::ReadItemBody { epoch, group, tenant, job, item } => {
                 self.body(epoch, group, (&tenant, &job), &item).await
             }
             StoreRequest::Append { epoch, batches } => self.append(epoch, batches).await,
             StoreRequest::Position { epoch, group } => self.position(epoch, group).await,
-            StoreRequest::Check { epoch, groups } => self.check_again(epoch, &groups),
-            StoreRequest::Fetch { epoch, group, after } => self.fetch(epoch, group, after).await,
-            StoreRequest::Install { epoch, group, copy } => self.install(epoch, group, &copy).await,
-            StoreRequest::Costs => {
-                StoreReply::Costs(costs::told(self.journal.counted(), &self.made, self.caller.sent()))
+            StoreRequest::RecheckGroups { epoch, groups } => self.check_again(epoch, &groups),
+            StoreRequest::FetchEntries { epoch, group, after } => self.fetch(epoch, group, after).await,
+            StoreRequest::InstallCopy { epoch, group, copy } => self.install(epoch, group, &copy).await,
+            StoreRequest::Counters => {
+                StoreReply::Counters(costs::told(self.journal.counted(), &self.made, self.caller.stats()))
             }
         }
     }
--- a/crates/control-plane/src/store/presence.rs
+++ b/crates/control-plane/src/store/presence.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Heard, Told};
-use fennelgauge_wire::{Request, StorePresence};
+use fennelgauge_wire::{Request, StoreHeartbeat};
 use tokio::time::{sleep, timeout};
 
 use super::Store;
@@ -37,8 +37,9 @@
             };
             let entries = if round % ENTRIES_EVERY == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = names.untold(&self, view.epoch);
-            let presence = StorePresence { heard, entries, accepted: accepted.clone() };
-            let told = self.caller.call(head.peer, Request::StorePresence(presence), PRESENCE_TIMEOUT);
+            let presence =
+                StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
+            let told = self.caller.call(head.peer, Request::StoreHeartbeat(presence), PRESENCE_TIMEOUT);
             match told.await {
                 Ok(_) => names.have_told(accepted),
                 Err(reason) => log::info!("presence is told again: {reason}"),
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -130,7 +130,7 @@
         let ends: Vec<(GroupNumber, EntryPosition)> =
             batches.iter().map(|batch| (batch.group, batch.end)).collect();
         match self.ask(peer, StoreRequest::Append { epoch, batches }, APPEND_TIMEOUT).await {
-            Some(StoreReply::Appended { reached }) => {
+            Some(StoreReply::Appended { replicated: reached }) => {
                 ends.into_iter().filter(|(group, _)| reached.contains(group)).collect()
             }
             _ => Vec::new(),
@@ -152,7 +152,7 @@
     /// Entries from the predecessors of their groups.
     pub(super) async fn append(self: &Rc<Self>, epoch: u64, batches: Vec<EntryBatch>) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else {
-            return StoreReply::OtherEpoch(self.view().epoch);
+            return StoreReply::EpochMismatch(self.view().epoch);
         };
         let mut level = Vec::new();
         let mut records = Vec::new();
@@ -166,14 +166,14 @@
         }
         let synced = self.journal_records(records);
         self.changed.notify_waiters();
-        StoreReply::Appended { reached: self.replicate(epoch, level, synced).await }
+        StoreReply::Appended { replicated: self.replicate(epoch, level, synced).await }
     }
 
     /// How far this store, as a link, is in a group in the view of `epoch`.
     pub(super) async fn position(&self, epoch: u64, group: GroupNumber) -> StoreReply {
         let role = self.view_of(epoch).await.and_then(|view| self.role(&view, group));
         let position = self.replica(group).borrow().position_as(role.as_ref());
-        position.map_or_else(|| StoreReply::OtherEpoch(self.view().epoch), StoreReply::Position)
+        position.map_or_else(|| StoreReply::EpochMismatch(self.view().epoch), StoreReply::Position)
     }
 
     /// Becomes a copy of the predecessor's group.
@@ -184,14 +184,14 @@
         copy: &GroupCopy,
     ) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else {
-            return StoreReply::OtherEpoch(self.view().epoch);
+            return StoreReply::EpochMismatch(self.view().epoch);
         };
         let role = self.role(&view, group);
         let before = self.replica(group).borrow().position();
         let installed = self.replica(group).borrow_mut().install_as_link(role.as_ref(), copy);
         match self.write_installed(group, before, installed, copy).await {
             true => StoreReply::Installed,
-            false => StoreReply::Unsure,
+            false => StoreReply::Undetermined,
         }
     }
 
@@ -311,7 +311,7 @@
                         group.0,
                         copy.state.len()
                     );
-                    let install = StoreRequest::Install { epoch, group, copy };
+                    let install = StoreRequest::InstallCopy { epoch, group, copy };
                     let reply = self.ask(peer, install, INSTALL_TIMEOUT).await;
                     let role = self.role(&self.view(), group);
                     repair.heard_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -22,11 +22,11 @@
         job: Job,
         most_queued: u64,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
         let submission = self.replica(group).borrow().submission(role.as_ref(), &job, most_queued);
         let entry = match submission {
-            Submission::NotTaken => return StoreReply::NotTaken,
+            Submission::NotTaken => return StoreReply::NotAccepted,
             Submission::OverQuota => return StoreReply::OverQuota,
             Submission::GivenUp => return StoreReply::GivenUp,
             Submission::Known(entry) => entry,
@@ -34,11 +34,11 @@
                 self.taken_here.borrow_mut().insert(job.id.clone(), group);
                 self.change(&view, group, Command::Accept(job))
             }
-            Submission::New => return StoreReply::NotTaken,
+            Submission::New => return StoreReply::NotAccepted,
         };
         match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
-            false => StoreReply::Unknown,
+            false => StoreReply::OutcomeUnknown,
         }
     }
 
@@ -64,11 +64,11 @@
         tenant: &str,
         job: String,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
         let ending = self.replica(group).borrow().ending(role.as_ref(), tenant, &job);
         let entry = match ending {
-            Ending::NotTaken => return StoreReply::NotTaken,
+            Ending::NotTaken => return StoreReply::NotAccepted,
             Ending::NotHere => return self.not_here(&view, group, &job).await,
             Ending::Known(entry) => entry,
             Ending::New => {
@@ -79,7 +79,7 @@
         };
         match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
-            false => StoreReply::Unknown,
+            false => StoreReply::OutcomeUnknown,
         }
     }
 
@@ -88,7 +88,7 @@
         match self.confirmed(view, group).await {
             true if self.replica(group).borrow().state().may_be_given_up(job) => StoreReply::GivenUp,
             true => StoreReply::NotFound,
-            false => StoreReply::Unsure,
+            false => StoreReply::Undetermined,
         }
     }
 
@@ -101,10 +101,10 @@
         hold: Duration,
     ) -> StoreReply {
         let began = Instant::now();
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::Unsure };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::Undetermined };
         let (job, start) = (query.job.clone(), query.start);
         let Some(mut reading) = Reading::new(self.role(&view, group), query, hold) else {
-            return StoreReply::Unsure;
+            return StoreReply::Undetermined;
         };
         for (link, position) in self.ask_positions(&view, group, reading.links()).await {
             reading.hear(link, position);
@@ -133,7 +133,7 @@
                 }
                 ReadStep::NotFound => return StoreReply::NotFound,
                 ReadStep::GivenUp => return StoreReply::GivenUp,
-                ReadStep::Unsure => return StoreReply::Unsure,
+                ReadStep::Unsure => return StoreReply::Undetermined,
             }
         }
     }
@@ -147,7 +147,7 @@
         item: &str,
     ) -> StoreReply {
         if !self.is_readable(epoch, group).await {
-            return StoreReply::Unsure;
+            return StoreReply::Undetermined;
         }
         let replica = self.replica(group).borrow();
         match replica.state().body(tenant, job, item) {
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -109,12 +109,12 @@
 }
 
 async fn read(running: &Running, epoch: u64) -> Option<Page> {
-    let read = StoreRequest::Read {
+    let read = StoreRequest::ReadResults {
         epoch,
         group: GROUP,
         tenant: TENANT.into(),
         job: JOB.into(),
-        start: 0,
+        start_after: 0,
         wait_ms: 0,
     };
     match running.store.answer(read).await {
@@ -185,7 +185,7 @@
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
-        let StoreReply::Appended { reached } = answer else { panic!("{answer:?}") };
+        let StoreReply::Appended { replicated: reached } = answer else { panic!("{answer:?}") };
         assert!(reached.is_empty(), "a link that has another entry at the place before says that it has all");
     });
 }
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -55,8 +55,12 @@
     drop(body);
     let group = group_of(&job.tenant);
     let most_queued = access.route.max_queued;
-    let ask =
-        |view: &StoreView| StoreRequest::Submit { epoch: view.epoch, group, job: job.clone(), most_queued };
+    let ask = |view: &StoreView| StoreRequest::Submit {
+        epoch: view.epoch,
+        group,
+        job: job.clone(),
+        max_queued: most_queued,
+    };
     let until = Instant::now() + SUBMIT_FOR;
     match ask_store(plane, StoreView::head, group, ask, CALL_TIMEOUT, until).await {
         Asked::Answered(StoreReply::Accepted) => finished(plane, HttpResponse::Accepted()),
@@ -133,8 +137,9 @@
             let left = until.saturating_duration_since(Instant::now()).min(within);
             let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), left);
             match call.await {
-                Ok(Reply::Store(StoreReply::NotTaken | StoreReply::Unsure)) | Ok(Reply::NotHere) => {}
-                Ok(Reply::Store(StoreReply::Unknown)) | Err(CallError::NoAnswer(_)) => arrived = true,
+                Ok(Reply::Store(StoreReply::NotAccepted | StoreReply::Undetermined))
+                | Ok(Reply::Unsupported) => {}
+                Ok(Reply::Store(StoreReply::OutcomeUnknown)) | Err(CallError::NoAnswer(_)) => arrived = true,
                 Ok(Reply::Store(reply)) => return Asked::Answered(reply),
                 Ok(_) | Err(CallError::NotSent(_)) => {}
             }
@@ -198,12 +203,12 @@
     let wait = header_text(&request, &POLL_WAIT).and_then(|value| value.parse().ok());
     let wait = wait.map_or(Duration::ZERO, Duration::from_millis).min(LONGEST_POLL);
     let until = Instant::now() + wait + READ_MARGIN;
-    let ask = |view: &StoreView| StoreRequest::Read {
+    let ask = |view: &StoreView| StoreRequest::ReadResults {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
         job: job.to_string(),
-        start: query.start_after,
+        start_after: query.start_after,
         wait_ms: wait.as_millis() as u64,
     };
     match ask_store(&plane, StoreView::tail, group, ask, wait + READ_MARGIN, until).await {
@@ -253,7 +258,7 @@
         Ok(owner) => owner,
         Err(denial) => return denied(&plane, denial),
     };
-    let ask = |view: &StoreView| StoreRequest::Body {
+    let ask = |view: &StoreView| StoreRequest::ReadItemBody {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
@@ -278,7 +283,7 @@
         Ok(owner) => owner,
         Err(denial) => return denied(&plane, denial),
     };
-    let ask = |view: &StoreView| StoreRequest::End {
+    let ask = |view: &StoreView| StoreRequest::Cancel {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -54,7 +54,7 @@
 
 impl Plane {
     pub fn new(settings: Settings) -> Self {
-        let caller = Caller::leaving_from(settings.calls_leave_from());
+        let caller = Caller::with_source(settings.calls_leave_from());
         Self {
             usage: RefCell::new(UsageCounts::new(settings.bounds.usage_window_s)),
             pool: Pool::new(&settings.zone, &settings.policy),
@@ -141,8 +141,8 @@
 
 async fn answer(known: Rc<Known>, request: Request) -> Reply {
     match request {
-        Request::Watch(watch) => Reply::News(Box::new(known.answer(&watch).await)),
-        _ => Reply::NotHere,
+        Request::Watch(watch) => Reply::Watch(Box::new(known.answer(&watch).await)),
+        _ => Reply::Unsupported,
     }
 }
 
--- a/crates/data-plane/src/timeliness.rs
+++ b/crates/data-plane/src/timeliness.rs
@@ -33,7 +33,7 @@
     pub fn report(&self) -> Vec<ServiceTimeliness> {
         let told = |(service, counts): (&String, &Counts)| ServiceTimeliness {
             service: service.clone(),
-            answers: counts.answers,
+            responses: counts.answers,
             late: counts.late,
         };
         self.services.iter().map(told).collect()
--- a/crates/data-plane/src/usage.rs
+++ b/crates/data-plane/src/usage.rs
@@ -43,9 +43,9 @@
     fn report(&self, node: &str, timeliness: Vec<ServiceTimeliness>) -> UsageReport {
         let windows = self.windows.iter().map(|(window, counts)| WindowCounts {
             window: *window,
-            counts: counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect(),
+            tenant_counts: counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect(),
         });
-        UsageReport { node: node.to_owned(), life: self.life, windows: windows.collect(), timeliness }
+        UsageReport { node: node.to_owned(), incarnation: self.life, windows: windows.collect(), timeliness }
     }
 }
 
--- a/crates/upstream/src/known.rs
+++ b/crates/upstream/src/known.rs
@@ -6,7 +6,7 @@
 
 use fennelgauge_coordination::{StoreView, View};
 use fennelgauge_model::{Configuration, RoutingTable, ServerList};
-use fennelgauge_wire::{ConfigurationNews, Have, News, Watch};
+use fennelgauge_wire::{ConfigurationUpdate, KnownVersions, WatchReply, WatchRequest};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -92,7 +92,7 @@
     }
 
     /// Takes a configuration as a source sent it. Changes that do not fit are left alone: the whole text is asked for.
-    fn take_news(&self, news: &ConfigurationNews) {
+    fn take_news(&self, news: &ConfigurationUpdate) {
         let read = self.texts.borrow().read(news);
         match read {
             Ok(json) => {
@@ -143,41 +143,41 @@
     }
 
     /// Takes all that is newer.
-    pub fn take(&self, news: News) {
+    pub fn take(&self, news: WatchReply) {
         if let Some(configuration) = news.configuration {
             self.take_news(&configuration);
         }
-        self.take_servers(news.servers, Duration::from_millis(news.servers_age_ms));
-        if let Some(stores) = news.stores {
+        self.take_servers(news.server_list, Duration::from_millis(news.server_list_age_ms));
+        if let Some(stores) = news.store_view {
             self.take_stores(stores);
         }
-        if let Some(view) = news.view {
+        if let Some(view) = news.core_view {
             self.take_view(&view);
         }
         self.take_confirmed(Duration::from_millis(news.confirmed_age_ms));
     }
 
     /// What this process has.
-    pub fn have(&self) -> Have {
+    pub fn have(&self) -> KnownVersions {
         let servers = self.servers.borrow();
-        Have {
+        KnownVersions {
             generation: if self.wants_whole.get() { 0 } else { self.generation() },
-            servers: (servers.reader, servers.version),
-            stores: self.stores.borrow().epoch,
-            view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
+            server_list: (servers.reader, servers.version),
+            store_view: self.stores.borrow().epoch,
+            core_view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
         }
     }
 
     /// Answers a watcher as soon as there is something newer, or when its time is up.
-    pub async fn answer(&self, watch: &Watch) -> News {
+    pub async fn answer(&self, watch: &WatchRequest) -> WatchReply {
         let until = Instant::now() + Duration::from_millis(watch.wait_ms.min(5_000));
         loop {
             let changed = self.changed.notified();
-            if self.is_newer_than(&watch.have) {
-                return self.news(&watch.have);
+            if self.is_newer_than(&watch.known) {
+                return self.news(&watch.known);
             }
             if tokio::time::timeout_at(until, changed).await.is_err() {
-                return self.news(&watch.have);
+                return self.news(&watch.known);
             }
         }
     }
@@ -190,35 +190,40 @@
     /// As [`Known::answer`]; but a process that is out of touch with a majority answers at once, so that the watcher can try
     /// another, and gives out neither configuration nor stores: there may be newer ones, and a watcher that has just
     /// started could not tell.
-    pub async fn answer_in_touch(&self, watch: &Watch) -> News {
+    pub async fn answer_in_touch(&self, watch: &WatchRequest) -> WatchReply {
         let mut news = match self.is_in_touch() {
             true => self.answer(watch).await,
-            false => self.news(&watch.have),
+            false => self.news(&watch.known),
         };
         if !self.is_in_touch() {
             news.configuration = None;
-            news.stores = None;
+            news.store_view = None;
         }
         news
     }
 
-    fn is_newer_than(&self, have: &Have) -> bool {
+    fn is_newer_than(&self, have: &KnownVersions) -> bool {
         let own = self.have();
         self.generation() > have.generation
-            || own.stores > have.stores
-            || own.view > have.view
-            || (own.servers != have.servers && self.servers_read.get().is_some())
+            || own.store_view > have.store_view
+            || own.core_view > have.core_view
+            || (own.server_list != have.server_list && self.servers_read.get().is_some())
     }
 
-    fn news(&self, have: &Have) -> News {
+    fn news(&self, have: &KnownVersions) -> WatchReply {
         let own = self.have();
         let has_newer = self.generation() > have.generation;
-        News {
+        WatchReply {
             configuration: has_newer.then(|| self.texts.borrow_mut().news(have.generation)),
-            servers: (own.servers != have.servers).then(|| self.servers.borrow().clone()),
-            servers_age_ms: age_ms(self.servers_age()),
-            stores: (own.stores > have.stores).then(|| StoreView::clone(&self.stores.borrow())),
-            view: self.view.borrow().as_ref().filter(|_| own.view > have.view).map(|view| View::clone(view)),
+            server_list: (own.server_list != have.server_list).then(|| self.servers.borrow().clone()),
+            server_list_age_ms: age_ms(self.servers_age()),
+            store_view: (own.store_view > have.store_view).then(|| StoreView::clone(&self.stores.borrow())),
+            core_view: self
+                .view
+                .borrow()
+                .as_ref()
+                .filter(|_| own.core_view > have.core_view)
+                .map(|view| View::clone(view)),
             confirmed_age_ms: age_ms(self.confirmed_age()),
         }
     }
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -6,7 +6,7 @@
 
 use fennelgauge_model::stable_hash;
 use fennelgauge_settings::Settings;
-use fennelgauge_wire::{Caller, Reply, Request, Watch};
+use fennelgauge_wire::{Caller, Reply, Request, WatchRequest};
 use tokio::time::{sleep, Instant};
 
 use crate::known::IN_TOUCH;
@@ -47,14 +47,14 @@
             sleep(RETRY).await;
             continue;
         };
-        let watch = Request::Watch(Watch { have: known.have(), wait_ms: WAIT.as_millis() as u64 });
+        let watch = Request::Watch(WatchRequest { known: known.have(), wait_ms: WAIT.as_millis() as u64 });
         let began = Instant::now();
         match caller.call(peer, watch, ANSWER_TIMEOUT).await {
-            Ok(Reply::News(news)) => {
+            Ok(Reply::Watch(news)) => {
                 let stale = news.confirmed_age_ms > IN_TOUCH.as_millis() as u64;
-                let before = known.have().view;
+                let before = known.have().core_view;
                 known.take(*news);
-                if known.have().view > before {
+                if known.have().core_view > before {
                     // The links of a later view are better sources than whoever is next.
                     source = 0;
                 } else if stale {
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -188,8 +188,8 @@
     runtime.block_on(async {
         let known = Known::default();
         assert!(known.take_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
-        let watch = fennelgauge_wire::Watch { have: Default::default(), wait_ms: 400 };
-        let up_to_date = fennelgauge_wire::Watch { have: known.have(), wait_ms: 400 };
+        let watch = fennelgauge_wire::WatchRequest { known: Default::default(), wait_ms: 400 };
+        let up_to_date = fennelgauge_wire::WatchRequest { known: known.have(), wait_ms: 400 };
         let given =
             |age_ms| known.answer_in_touch(&watch).map(move |news| (news.configuration.is_some(), age_ms));
         assert_eq!(given(0).await, (false, 0), "nobody has confirmed its view yet");
--- a/crates/upstream/src/texts.rs
+++ b/crates/upstream/src/texts.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use fennelgauge_encoding::{applied, checksum, decode, delta, encode, packed, unpacked, Part};
-use fennelgauge_wire::ConfigurationNews;
+use fennelgauge_wire::ConfigurationUpdate;
 
 /// Earlier texts that a source keeps, and how many bytes of them.
 const EARLIER: usize = 12;
@@ -36,7 +36,7 @@
     earlier: VecDeque<(u64, Vec<u8>)>,
     keeps_earlier: bool,
     /// The newest text as it is sent, by the generation that a watcher has.
-    sent: HashMap<Option<u64>, ConfigurationNews>,
+    sent: HashMap<Option<u64>, ConfigurationUpdate>,
 }
 
 impl Texts {
@@ -66,7 +66,7 @@
     }
 
     /// The newest text for a watcher that has that generation.
-    pub fn news(&mut self, have: u64) -> ConfigurationNews {
+    pub fn news(&mut self, have: u64) -> ConfigurationUpdate {
         let base = self.earlier.iter().find(|(generation, _)| *generation == have);
         let key = base.map(|(generation, _)| *generation);
         if let Some(sent) = self.sent.get(&key) {
@@ -76,20 +76,20 @@
             Some((_, text)) => packed(&encode(&delta(text, &self.newest))),
             None => packed(&self.newest),
         };
-        let news = ConfigurationNews {
+        let news = ConfigurationUpdate {
             generation: self.generation,
-            base: key,
+            base_generation: key,
             checksum: checksum(&self.newest),
-            packed: body,
+            compressed: body,
         };
         self.sent.insert(key, news.clone());
         news
     }
 
     /// The text that a source has sent.
-    pub fn read(&self, news: &ConfigurationNews) -> Result<Vec<u8>, NewsError> {
-        let body = unpacked(&news.packed, MOST_BYTES)?;
-        let text = match news.base {
+    pub fn read(&self, news: &ConfigurationUpdate) -> Result<Vec<u8>, NewsError> {
+        let body = unpacked(&news.compressed, MOST_BYTES)?;
+        let text = match news.base_generation {
             None => body,
             Some(base) if base == self.generation => {
                 let parts: Vec<Part> = decode(&body)?;
--- a/crates/upstream/src/texts/tests.rs
+++ b/crates/upstream/src/texts/tests.rs
@@ -24,19 +24,23 @@
     source.put(3, long(3));
     let mut watcher = Texts::default();
     let whole = source.news(0);
-    assert_eq!(whole.base, None);
-    assert!(whole.packed.len() < 60_000, "{} of {} bytes", whole.packed.len(), long(3).len());
+    assert_eq!(whole.base_generation, None);
+    assert!(whole.compressed.len() < 60_000, "{} of {} bytes", whole.compressed.len(), long(3).len());
     watcher.put(3, watcher.read(&whole).expect("whole"));
     for generation in 4..20 {
         source.put(generation, long(generation));
         let news = source.news(watcher.generation());
-        assert!(news.base == Some(generation - 1) && news.packed.len() < 400, "{} bytes", news.packed.len());
+        assert!(
+            news.base_generation == Some(generation - 1) && news.compressed.len() < 400,
+            "{} bytes",
+            news.compressed.len()
+        );
         let text = watcher.read(&news).expect("changes");
         assert_eq!(text, long(generation));
         watcher.put(generation, text);
     }
-    assert_eq!(source.news(3).base, None, "so old a text is not kept");
-    assert_eq!(source.news(12).base, Some(12));
+    assert_eq!(source.news(3).base_generation, None, "so old a text is not kept");
+    assert_eq!(source.news(12).base_generation, Some(12));
 }
 
 #[test]
@@ -50,9 +54,9 @@
     // Of that generation, but another text: shorter at its beginning.
     other.put(3, long(3).split_off(40));
     assert!(matches!(other.read(&changes), Err(NewsError::Garbled | NewsError::Misfit(_))));
-    let cut = ConfigurationNews { packed: changes.packed[..9].to_vec(), ..changes.clone() };
+    let cut = ConfigurationUpdate { compressed: changes.compressed[..9].to_vec(), ..changes.clone() };
     assert!(matches!(other.read(&cut), Err(NewsError::Packed(_))));
-    let foreign = ConfigurationNews { packed: packed(b"\xff\xff\xff"), ..changes };
+    let foreign = ConfigurationUpdate { compressed: packed(b"\xff\xff\xff"), ..changes };
     assert!(matches!(other.read(&foreign), Err(NewsError::Undecoded(_))));
 }
 
@@ -61,5 +65,5 @@
     let mut texts = Texts::default();
     texts.put(1, long(1));
     texts.put(2, long(2));
-    assert_eq!(texts.news(1).base, None);
+    assert_eq!(texts.news(1).base_generation, None);
 }
--- a/crates/wire/examples/fuzz_messages.rs
+++ b/crates/wire/examples/fuzz_messages.rs
@@ -6,7 +6,8 @@
 
 use fennelgauge_coordination::{Ballot, Envelope, Identity, Member, Message, Version, View};
 use fennelgauge_wire::{
-    decode, encode, ConfigurationBytes, CoreReply, CoreRequest, Order, OrderKind, Reply, Request,
+    decode, encode, ChangeKind, ConfigurationBytes, ConfigurationChange, CoreReply, CoreRequest, Reply,
+    Request,
 };
 
 const INPUTS: u64 = 100_000;
@@ -75,9 +76,9 @@
     let envelopes = messages
         .into_iter()
         .map(|message| encode(&Request::Coordination(Box::new(Envelope { from: member.clone(), message }))));
-    let order = Order { kind: OrderKind::Patch, base: 7, body: vec![2; 60] };
+    let order = ConfigurationChange { kind: ChangeKind::Patch, base_generation: 7, body: vec![2; 60] };
     let mut samples: Vec<Vec<u8>> = envelopes.collect();
-    samples.push(encode(&Request::Core(CoreRequest::Order(order))));
+    samples.push(encode(&Request::Core(CoreRequest::ChangeConfiguration(order))));
     samples.push(encode(&Reply::Core(CoreReply::Configuration(Some(ConfigurationBytes(vec![3; 80]))))));
     samples
 }
--- a/crates/wire/src/calls.rs
+++ b/crates/wire/src/calls.rs
@@ -16,7 +16,7 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::frame::{framed, read_frame};
-use crate::messages::{Reply, Request, Tagged};
+use crate::messages::{CallMessage, Reply, Request};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// An answer of which something came within this time is still coming.
@@ -37,7 +37,7 @@
 
 /// What was sent since the beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct CallStats {
     pub calls: u64,
     pub bytes: u64,
 }
@@ -49,7 +49,7 @@
     opening: Rc<RefCell<HashMap<SocketAddr, Rc<tokio::sync::Mutex<()>>>>>,
     /// The address that calls leave from; none where the system may choose.
     source: Option<IpAddr>,
-    sent: Rc<Cell<Sent>>,
+    stats: Rc<Cell<CallStats>>,
 }
 
 struct Connection {
@@ -64,13 +64,13 @@
 
 impl Caller {
     /// Calls that leave from an address.
-    pub fn leaving_from(source: Option<IpAddr>) -> Self {
+    pub fn with_source(source: Option<IpAddr>) -> Self {
         Self { source, ..Self::default() }
     }
 
     /// What was sent by this and all its clones.
-    pub fn sent(&self) -> Sent {
-        self.sent.get()
+    pub fn stats(&self) -> CallStats {
+        self.stats.get()
     }
 
     /// Asks a peer, for at most `within`.
@@ -86,8 +86,8 @@
             _ => return Err(CallError::NotSent(peer)),
         };
         let (number, answer, bytes) = connection.send(request).map_err(|()| CallError::NotSent(peer))?;
-        let Sent { calls, bytes: before } = self.sent.get();
-        self.sent.set(Sent { calls: calls + 1, bytes: before + bytes as u64 });
+        let CallStats { calls, bytes: before } = self.stats.get();
+        self.stats.set(CallStats { calls: calls + 1, bytes: before + bytes as u64 });
         match connection.answered(answer, began, within).await {
             Some(Ok(reply)) => Ok(reply),
             Some(Err(_)) => Err(CallError::NoAnswer(peer)),
@@ -187,7 +187,7 @@
     fn send(&self, request: Request) -> Result<(u64, oneshot::Receiver<Reply>, usize), ()> {
         let number = self.next.get();
         self.next.set(number + 1);
-        let frame = framed(&Tagged { number, body: request });
+        let frame = framed(&CallMessage { call_id: number, body: request });
         let bytes = frame.len();
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, sender);
@@ -199,13 +199,13 @@
 async fn read_replies(read: OwnedReadHalf, connection: &Connection) {
     let mut read = BufReader::new(Noting { read, coming: connection.coming.clone() });
     loop {
-        match read_frame::<Tagged<Reply>>(&mut read).await {
+        match read_frame::<CallMessage<Reply>>(&mut read).await {
             Ok(reply) => {
                 if read.buffer().is_empty() {
                     connection.coming.set(None);
                 }
                 connection.heard.set(Instant::now());
-                if let Some(waiting) = connection.waiting.borrow_mut().remove(&reply.number) {
+                if let Some(waiting) = connection.waiting.borrow_mut().remove(&reply.call_id) {
                     let _ = waiting.send(reply.body);
                 }
             }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -12,13 +12,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     #[error("the connection ended ({0})")]
-    Ended(#[from] std::io::Error),
+    ConnectionLost(#[from] std::io::Error),
     #[error("a frame of {0} bytes is over the limit: the peer is not one of ours")]
     TooLarge(usize),
     #[error("a frame's checksum is wrong: the connection is given up")]
-    Garbled,
+    ChecksumMismatch,
     #[error("a frame holds no known message: {0}")]
-    Unknown(#[from] DecodeError),
+    Decode(#[from] DecodeError),
 }
 
 pub(crate) fn framed<M: Serialize>(message: &M) -> Vec<u8> {
@@ -41,10 +41,10 @@
     let mut body = Vec::new();
     let read = stream.take(length as u64).read_to_end(&mut body).await?;
     if read < length {
-        return Err(FrameError::Ended(std::io::ErrorKind::UnexpectedEof.into()));
+        return Err(FrameError::ConnectionLost(std::io::ErrorKind::UnexpectedEof.into()));
     }
     match crc32fast::hash(&body) == checksum {
         true => Ok(decode(&body)?),
-        false => Err(FrameError::Garbled),
+        false => Err(FrameError::ChecksumMismatch),
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,7 +6,7 @@
 mod messages;
 mod server;
 
-pub use calls::{CallError, Caller, Sent};
+pub use calls::{CallError, CallStats, Caller};
 pub use fennelgauge_encoding::{decode, encode};
 pub use fennelgauge_replication::{Entry, EntryBatch, EntryPosition, GroupCopy};
 pub use frame::FrameError;
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -12,8 +12,8 @@
 
 /// A message with the number of its call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Tagged<M> {
-    pub number: u64,
+pub(crate) struct CallMessage<M> {
+    pub call_id: u64,
     pub body: M,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
     /// To any process that has news: answered when there is something newer, or after a while.
-    Watch(Watch),
+    Watch(WatchRequest),
     Core(CoreRequest),
     /// Among the core's machines; what follows from it comes as messages of their own.
     Coordination(Box<Envelope>),
@@ -29,68 +29,68 @@
     /// Requests that began, to the head of the core.
     Usage(UsageReport),
     /// A store is there, and what it tells of its groups; to the head of the core.
-    StorePresence(StorePresence),
+    StoreHeartbeat(StoreHeartbeat),
     /// The servers that a process uses, to its home.
-    Uses(Report),
+    ServerLoad(Report),
 }
 
 /// What is answered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    News(Box<News>),
+    Watch(Box<WatchReply>),
     Core(CoreReply),
     Store(StoreReply),
     /// The servers that the home's other reporters use.
-    Uses(Sums),
+    ServerLoad(Sums),
     /// Taken notice of.
-    Noted,
+    Acknowledged,
     /// The asked process does not do that.
-    NotHere,
+    Unsupported,
 }
 
 /// What a watcher has already.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct KnownVersions {
     /// Generation of the configuration.
     pub generation: u64,
     /// Life of the list's reader and the list's version.
-    pub servers: (u64, u64),
-    pub stores: u64,
-    pub view: u64,
+    pub server_list: (u64, u64),
+    pub store_view: u64,
+    pub core_view: u64,
 }
 
 /// Asks for what is newer than what the watcher has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Watch {
-    pub have: Have,
+pub struct WatchRequest {
+    pub known: KnownVersions,
     /// How long the answer may be held, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// What is newer, and how fresh the source is.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
-    pub configuration: Option<ConfigurationNews>,
-    pub servers: Option<ServerList>,
+pub struct WatchReply {
+    pub configuration: Option<ConfigurationUpdate>,
+    pub server_list: Option<ServerList>,
     /// How long ago the list was read, in milliseconds.
-    pub servers_age_ms: u64,
-    pub stores: Option<StoreView>,
-    pub view: Option<View>,
+    pub server_list_age_ms: u64,
+    pub store_view: Option<StoreView>,
+    pub core_view: Option<View>,
     /// How long ago the source's view was confirmed by a majority, in milliseconds.
     pub confirmed_age_ms: u64,
 }
 
 /// A configuration on its way to a watcher: packed, and by its changes where the watcher has an earlier one that the source has, too.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     pub generation: u64,
     /// The generation whose text the changes are for; none where the whole text is sent.
-    pub base: Option<u64>,
+    pub base_generation: Option<u64>,
     /// Of the text.
     pub checksum: u32,
     /// The text, or the parts of it in bincode.
     #[serde(with = "serde_bytes")]
-    pub packed: Vec<u8>,
+    pub compressed: Vec<u8>,
 }
 
 /// A configuration as the operator wrote it.
@@ -100,61 +100,61 @@
 /// From any control process to the head or the tail of the core.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreRequest {
-    Order(Order),
+    ChangeConfiguration(ConfigurationChange),
     /// The newest committed configuration, to the tail.
-    Read,
+    ReadConfiguration,
     /// To empty a store, to the head.
     RetireStart {
         node: String,
     },
-    RetireState {
+    RetireStatus {
         node: String,
     },
     /// What is known of a group of batch jobs, to the head.
-    Group(GroupNumber),
+    GroupStatus(GroupNumber),
     /// To give a group up, to the head.
     GiveUp(GiveUp),
 }
 
 /// The operator's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
-    pub kind: OrderKind,
+pub struct ConfigurationChange {
+    pub kind: ChangeKind,
     /// The generation that it builds on.
-    pub base: u64,
+    pub base_generation: u64,
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 /// How an order changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderKind {
+pub enum ChangeKind {
     Put,
     Patch,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreReply {
-    Ordered(OrderReply),
+    ChangeConfiguration(ChangeReply),
     Configuration(Option<ConfigurationBytes>),
     Retire(RetireReply),
-    Group(GroupReply),
+    GroupStatus(GroupStatusReply),
     GiveUp(GiveUpReply),
 }
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderReply {
+pub enum ChangeReply {
     Acknowledged,
     /// Another generation is current.
     Conflict {
-        current: u64,
+        current_generation: u64,
     },
     Invalid(String),
     /// Not taken; ask again.
     Unavailable,
     /// May have been taken.
-    Unknown,
+    OutcomeUnknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -162,21 +162,21 @@
     Running,
     Succeeded,
     UnknownNode,
-    TooFew,
+    TooFewStores,
     Unavailable,
 }
 
 /// What is known of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GroupReply {
-    Known(GroupReport),
+pub enum GroupStatusReply {
+    Found(GroupStatus),
     UnknownGroup,
     Unavailable,
 }
 
 /// A group of batch jobs as the head of the core sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupReport {
+pub struct GroupStatus {
     pub group: u16,
     /// Of the stores.
     pub view: u64,
@@ -196,17 +196,17 @@
     /// Not taken; ask again.
     Unavailable,
     /// May have been carried out.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// A store is there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StorePresence {
-    pub heard: Heard,
+pub struct StoreHeartbeat {
+    pub store: Heard,
     /// Now and then: how many entries it has, by group.
-    pub entries: Vec<(GroupNumber, u64)>,
+    pub entry_counts: Vec<(GroupNumber, u64)>,
     /// Batch jobs that it has taken as a head since it told last.
-    pub accepted: Vec<(GroupNumber, Vec<String>)>,
+    pub accepted_jobs: Vec<(GroupNumber, Vec<String>)>,
 }
 
 /// Requests of each tenant that began in each window, as one process counted them so far.
@@ -214,7 +214,7 @@
 pub struct UsageReport {
     pub node: String,
     /// Drawn at the process's start.
-    pub life: u64,
+    pub incarnation: u64,
     pub windows: Vec<WindowCounts>,
     pub timeliness: Vec<ServiceTimeliness>,
 }
@@ -223,7 +223,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTimeliness {
     pub service: String,
-    pub answers: u64,
+    pub responses: u64,
     pub late: u64,
 }
 
@@ -231,7 +231,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
     pub window: u64,
-    pub counts: Vec<(String, u64)>,
+    pub tenant_counts: Vec<(String, u64)>,
 }
 
 /// To stores. `epoch` is that of the stores' view.
@@ -241,23 +241,23 @@
         epoch: u64,
         group: GroupNumber,
         job: Job,
-        most_queued: u64,
+        max_queued: u64,
     },
-    End {
+    Cancel {
         epoch: u64,
         group: GroupNumber,
         tenant: String,
         job: String,
     },
-    Read {
+    ReadResults {
         epoch: u64,
         group: GroupNumber,
         tenant: String,
         job: String,
-        start: u32,
+        start_after: u32,
         wait_ms: u64,
     },
-    Body {
+    ReadItemBody {
         epoch: u64,
         group: GroupNumber,
         tenant: String,
@@ -275,39 +275,39 @@
         group: GroupNumber,
     },
     /// A link that is not level in the view, to its predecessor: look after these groups.
-    Check {
+    RecheckGroups {
         epoch: u64,
         groups: Vec<GroupNumber>,
     },
     /// What follows a position, for a learner.
-    Fetch {
+    FetchEntries {
         epoch: u64,
         group: GroupNumber,
         after: EntryPosition,
     },
     /// A whole copy of a group, from its predecessor in the chain.
-    Install {
+    InstallCopy {
         epoch: u64,
         group: GroupNumber,
         copy: GroupCopy,
     },
     /// What the store has done since it began.
-    Costs,
+    Counters,
 }
 
 /// What a store has done since it began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreCosts {
+pub struct StoreCounters {
     /// Files of the journal, each written and synced by itself.
-    pub syncs: u64,
-    pub synced_bytes: u64,
+    pub journal_syncs: u64,
+    pub journal_bytes: u64,
     /// Calls to other processes.
     pub calls: u64,
     pub call_bytes: u64,
     /// Entries made as a head.
-    pub entries: u64,
+    pub head_entries: u64,
     /// Results among them.
-    pub results: u64,
+    pub head_results: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -315,28 +315,28 @@
     Accepted,
     OverQuota,
     /// Certainly not taken: wrong store, wrong view, no room.
-    NotTaken,
+    NotAccepted,
     /// May have been taken.
-    Unknown,
+    OutcomeUnknown,
     Page(Page),
     Body(serde_bytes::ByteBuf),
     NotFound,
     /// The batch job was given up with its group, or there never was one of that name.
     GivenUp,
     /// Nobody here can be sure.
-    Unsure,
+    Undetermined,
     /// Groups in which every further link is level and has the entries, too.
     Appended {
-        reached: Vec<GroupNumber>,
+        replicated: Vec<GroupNumber>,
     },
     /// Taken notice of.
-    Noted,
+    Acknowledged,
     /// The asked store is in that view.
-    OtherEpoch(u64),
+    EpochMismatch(u64),
     Position(EntryPosition),
     /// The copy is on the disk.
     Installed,
     Entries(EntryBatch),
     Copy(GroupCopy),
-    Costs(StoreCosts),
+    Counters(StoreCounters),
 }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -9,7 +9,7 @@
 
 use crate::calls::write_frames;
 use crate::frame::{framed, read_frame};
-use crate::messages::{Reply, Request, Tagged};
+use crate::messages::{CallMessage, Reply, Request};
 
 /// Answers calls on `listener` without end; each call runs on its own.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
@@ -43,7 +43,8 @@
     let writer = tokio::task::spawn_local(write_frames(write, queue));
     let mut read = BufReader::new(read);
     loop {
-        let Tagged { number, body } = match read_frame::<Tagged<Request>>(&mut read).await {
+        let CallMessage { call_id: number, body } = match read_frame::<CallMessage<Request>>(&mut read).await
+        {
             Ok(request) => request,
             Err(reason) => {
                 log::debug!("a caller's connection: {reason}");
@@ -53,7 +54,7 @@
         let answer = handler(body);
         let outgoing = outgoing.clone();
         tokio::task::spawn_local(async move {
-            let frame = framed(&Tagged { number, body: answer.await });
+            let frame = framed(&CallMessage { call_id: number, body: answer.await });
             let _ = outgoing.send(frame);
         });
     }
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -14,11 +14,17 @@
     let address = listener.local_addr().expect("an address");
     tokio::task::spawn_local(serve(listener, |request| async move {
         match request {
-            Request::Core(CoreRequest::Order(Order { base: 0, .. })) => std::future::pending().await,
-            Request::Core(CoreRequest::Order(Order { base, .. })) => {
-                Reply::Core(CoreReply::Ordered(OrderReply::Conflict { current: base }))
-            }
-            _ => Reply::NotHere,
+            Request::Core(CoreRequest::ChangeConfiguration(ConfigurationChange {
+                base_generation: 0,
+                ..
+            })) => std::future::pending().await,
+            Request::Core(CoreRequest::ChangeConfiguration(ConfigurationChange {
+                base_generation: base,
+                ..
+            })) => Reply::Core(CoreReply::ChangeConfiguration(ChangeReply::Conflict {
+                current_generation: base,
+            })),
+            _ => Reply::Unsupported,
         }
     }));
     address
@@ -26,12 +32,18 @@
 
 /// Answered by its own number, but for 0, which is never answered.
 fn numbered(base: u64) -> Request {
-    Request::Core(CoreRequest::Order(Order { kind: OrderKind::Put, base, body: Vec::new() }))
+    Request::Core(CoreRequest::ChangeConfiguration(ConfigurationChange {
+        kind: ChangeKind::Put,
+        base_generation: base,
+        body: Vec::new(),
+    }))
 }
 
 fn number_of(reply: Result<Reply, CallError>) -> u64 {
     match reply {
-        Ok(Reply::Core(CoreReply::Ordered(OrderReply::Conflict { current }))) => current,
+        Ok(Reply::Core(CoreReply::ChangeConfiguration(ChangeReply::Conflict {
+            current_generation: current,
+        }))) => current,
         other => panic!("{other:?}"),
     }
 }
@@ -82,12 +94,12 @@
 
 #[test]
 fn a_message_comes_back_whole_and_leftovers_are_refused() {
-    let order = Order { kind: OrderKind::Patch, base: 7, body: vec![1, 2, 3] };
+    let order = ConfigurationChange { kind: ChangeKind::Patch, base_generation: 7, body: vec![1, 2, 3] };
     let mut bytes = encode(&order);
-    assert_eq!(decode::<Order>(&bytes).expect("whole"), order);
+    assert_eq!(decode::<ConfigurationChange>(&bytes).expect("whole"), order);
     bytes.push(0);
-    assert!(decode::<Order>(&bytes).is_err());
-    assert!(decode::<Order>(&bytes[..3]).is_err());
+    assert!(decode::<ConfigurationChange>(&bytes).is_err());
+    assert!(decode::<ConfigurationChange>(&bytes[..3]).is_err());
 }
 
 #[test]
@@ -101,12 +113,16 @@
         tokio::task::spawn_local(serve(listener, move |request| {
             let (release, mut released) = (release.clone(), released.clone());
             async move {
-                let Request::Core(CoreRequest::Order(order)) = request else { return Reply::NotHere };
-                match order.base {
+                let Request::Core(CoreRequest::ChangeConfiguration(order)) = request else {
+                    return Reply::Unsupported;
+                };
+                match order.base_generation {
                     1 => drop(released.wait_for(|released| *released).await),
                     _ => drop(release.send(true)),
                 }
-                Reply::Core(CoreReply::Ordered(OrderReply::Conflict { current: order.base }))
+                Reply::Core(CoreReply::ChangeConfiguration(ChangeReply::Conflict {
+                    current_generation: order.base_generation,
+                }))
             }
         }));
         let caller = Caller::default();
@@ -145,7 +161,8 @@
     tokio::task::spawn_local(async move {
         let (mut stream, _) = listener.accept().await.expect("a caller");
         let configuration = CoreReply::Configuration(Some(ConfigurationBytes(vec![7; 1_000])));
-        let frame = crate::frame::framed(&messages::Tagged { number: 0, body: Reply::Core(configuration) });
+        let frame =
+            crate::frame::framed(&messages::CallMessage { call_id: 0, body: Reply::Core(configuration) });
         for piece in frame.chunks(frame.len().div_ceil(10)).take(pieces) {
             stream.write_all(piece).await.expect("written");
             tokio::time::sleep(Duration::from_millis(25)).await;
