--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest number of items in a batch job.
-pub const MAX_ITEMS: usize = 200;
+pub const MAX_ITEMS_PER_JOB: usize = 200;
 
 /// A request to be run later.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -35,24 +35,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobError {
     #[error("the batch job has no id: send X-Fennelgauge-Request-Id")]
-    NoId,
-    #[error("{0} items: send between 1 and {MAX_ITEMS}")]
+    MissingId,
+    #[error("{0} items: send between 1 and {MAX_ITEMS_PER_JOB}")]
     ItemCount(usize),
     #[error("item {0:?} stands in the batch job twice: give every item an id of its own")]
     DuplicateItem(String),
     #[error("item {0}: its id is empty: give every item an id")]
     EmptyItemId(usize),
     #[error("item {0:?}: its path does not lie under the route's path_prefix")]
-    ForeignPath(String),
+    PathOutsideRoute(String),
 }
 
 impl Job {
     /// Checks what the items must fulfil under a route's prefix.
-    pub fn check(&self, path_prefix: &str) -> Result<(), JobError> {
+    pub fn validate(&self, path_prefix: &str) -> Result<(), JobError> {
         if self.id.is_empty() {
-            return Err(JobError::NoId);
+            return Err(JobError::MissingId);
         }
-        if self.items.is_empty() || self.items.len() > MAX_ITEMS {
+        if self.items.is_empty() || self.items.len() > MAX_ITEMS_PER_JOB {
             return Err(JobError::ItemCount(self.items.len()));
         }
         let mut ids = BTreeSet::new();
@@ -61,7 +61,7 @@
                 return Err(JobError::EmptyItemId(position));
             }
             if !item.path.starts_with(path_prefix) {
-                return Err(JobError::ForeignPath(item.id.clone()));
+                return Err(JobError::PathOutsideRoute(item.id.clone()));
             }
             if !ids.insert(item.id.as_str()) {
                 return Err(JobError::DuplicateItem(item.id.clone()));
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    pub fn tokens(&self) -> u64 {
+    pub fn total_tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
 }
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Its place among the submitted items.
-    pub item: u32,
+    pub item_index: u32,
     pub outcome: ItemOutcome,
     pub text: String,
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -5,7 +5,7 @@
 mod state;
 
 pub use job::{Item, ItemOutcome, ItemResult, Job, JobError};
-pub use state::{Admission, Command, GroupState, JobState, Page, MAX_PAGE_BYTES};
+pub use state::{Admission, Command, GroupState, JobState, Page, MAX_PAGE_TEXT_BYTES};
 
 #[cfg(test)]
 mod tests;
--- a/crates/batch/src/tests.rs
+++ b/crates/batch/src/tests.rs
@@ -19,15 +19,15 @@
 }
 
 fn result(item: u32, text: &str) -> ItemResult {
-    ItemResult { item, outcome: ItemOutcome::Succeeded, text: text.to_owned() }
+    ItemResult { item_index: item, outcome: ItemOutcome::Succeeded, text: text.to_owned() }
 }
 
 fn finish(job: &str, results: Vec<ItemResult>) -> Command {
-    Command::Finish { job: job.to_owned(), results }
+    Command::RecordResults { job: job.to_owned(), results }
 }
 
 fn end(job: &str) -> Command {
-    Command::End { job: job.to_owned() }
+    Command::Cancel { job: job.to_owned() }
 }
 
 #[test]
@@ -61,14 +61,14 @@
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[10, 20])));
     let cases = [
-        (job("k", "t", &[10]), 40, Admission::Fits),
-        (job("k", "t", &[11]), 40, Admission::OverQuota { queued: 30, most: 40 }),
-        (job("k", "u", &[40]), 40, Admission::Fits),
-        (job("k", "t", &[1_000]), 0, Admission::Fits),
-        (job("j", "t", &[1_000]), 40, Admission::Known),
+        (job("k", "t", &[10]), 40, Admission::Admitted),
+        (job("k", "t", &[11]), 40, Admission::OverQuota { queued: 30, limit: 40 }),
+        (job("k", "u", &[40]), 40, Admission::Admitted),
+        (job("k", "t", &[1_000]), 0, Admission::Admitted),
+        (job("j", "t", &[1_000]), 40, Admission::AlreadyAccepted),
     ];
     for (job, most, expected) in cases {
-        assert_eq!(state.admission(&job, most), expected, "{} {}", job.id, job.tenant);
+        assert_eq!(state.check_admission(&job, most), expected, "{} {}", job.id, job.tenant);
     }
 }
 
@@ -78,35 +78,35 @@
     state.apply(Command::Accept(job("j", "t", &[1, 1, 1])));
     state.apply(finish("j", vec![result(2, "two"), result(0, "zero")]));
     state.apply(finish("j", vec![result(2, "other"), result(1, "one")]));
-    let page = state.page("t", "j", 0).expect("there");
+    let page = state.results_page("t", "j", 0).expect("there");
     let read: Vec<(&str, &str)> =
         page.results.iter().map(|(id, result)| (id.as_str(), result.text.as_str())).collect();
     assert_eq!(read, [("j-2", "two"), ("j-0", "zero"), ("j-1", "one")]);
-    assert_eq!((page.total, page.next, page.complete), (3, 3, true));
-    assert_eq!(state.page("t", "j", 2).expect("there").results.len(), 1);
-    assert!(state.page("u", "j", 0).is_none(), "another tenant's");
+    assert_eq!((page.total_items, page.next_position, page.is_complete), (3, 3, true));
+    assert_eq!(state.results_page("t", "j", 2).expect("there").results.len(), 1);
+    assert!(state.results_page("u", "j", 0).is_none(), "another tenant's");
 }
 
 #[test]
 fn a_page_is_bounded_but_never_empty_where_there_is_a_result() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[1, 1])));
-    let long = "x".repeat(MAX_PAGE_BYTES + 1);
+    let long = "x".repeat(MAX_PAGE_TEXT_BYTES + 1);
     state.apply(finish("j", vec![result(0, &long), result(1, &long)]));
-    let page = state.page("t", "j", 0).expect("there");
-    assert_eq!((page.results.len(), page.next), (1, 1));
+    let page = state.results_page("t", "j", 0).expect("there");
+    assert_eq!((page.results.len(), page.next_position), (1, 1));
 }
 
 #[test]
 fn bodies_are_there_until_the_result_or_the_end() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[1, 1])));
-    assert_eq!(state.body("t", "j", "j-1"), Some([1, 1, 1].as_slice()));
-    assert_eq!(state.body("u", "j", "j-1"), None);
+    assert_eq!(state.unfinished_item_body("t", "j", "j-1"), Some([1, 1, 1].as_slice()));
+    assert_eq!(state.unfinished_item_body("u", "j", "j-1"), None);
     state.apply(finish("j", vec![result(1, "x")]));
-    assert_eq!(state.body("t", "j", "j-1"), None);
+    assert_eq!(state.unfinished_item_body("t", "j", "j-1"), None);
     state.apply(end("j"));
-    assert_eq!(state.body("t", "j", "j-0"), None);
+    assert_eq!(state.unfinished_item_body("t", "j", "j-0"), None);
 }
 
 #[test]
@@ -118,15 +118,15 @@
     let mut foreign = job("j", "t", &[1]);
     foreign.items[0].path = "/q/1".to_owned();
     let cases = [
-        (job("", "t", &[1]), Err(JobError::NoId)),
+        (job("", "t", &[1]), Err(JobError::MissingId)),
         (job("j", "t", &[]), Err(JobError::ItemCount(0))),
         (job("j", "t", &[1; 201]), Err(JobError::ItemCount(201))),
         (twice, Err(JobError::DuplicateItem("j-0".to_owned()))),
         (nameless, Err(JobError::EmptyItemId(0))),
-        (foreign, Err(JobError::ForeignPath("j-0".to_owned()))),
+        (foreign, Err(JobError::PathOutsideRoute("j-0".to_owned()))),
         (job("j", "t", &[1; 200]), Ok(())),
     ];
     for (job, expected) in cases {
-        assert_eq!(job.check("/p/"), expected);
+        assert_eq!(job.validate("/p/"), expected);
     }
 }
--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -63,7 +63,8 @@
         }
         loop {
             let OpenItem { item, route, tenant, host, received_ms } = self.item(key)?;
-            let dead = ItemResult { item: key.item, outcome: ItemOutcome::DeadLettered, text: String::new() };
+            let dead =
+                ItemResult { item_index: key.item, outcome: ItemOutcome::DeadLettered, text: String::new() };
             let Some(route) = route else { return Some(dead) };
             let given_up_ms = received_ms + (route.retention_s * 1_000.0) as u64 + RETENTION_MARGIN_MS;
             if route.retention_s > 0.0 && wall_clock_ms() > given_up_ms {
@@ -85,7 +86,7 @@
                 Attempt::Finished(ItemOutcome::Succeeded) => {
                     self.run_times.borrow_mut().took(item.tokens, began.elapsed());
                     let text = text.join("\n");
-                    return Some(ItemResult { item: key.item, outcome: ItemOutcome::Succeeded, text });
+                    return Some(ItemResult { item_index: key.item, outcome: ItemOutcome::Succeeded, text });
                 }
                 Attempt::Finished(ItemOutcome::DeadLettered) => return Some(dead),
                 Attempt::Failed => {
@@ -120,9 +121,9 @@
     /// The item as it stands now; none if it is over.
     fn item(&self, key: &ItemKey) -> Option<OpenItem> {
         let replica = self.replica(key.group).borrow();
-        let state = replica.state().job(&key.job).filter(|state| !state.ended)?;
+        let state = replica.state().job(&key.job).filter(|state| !state.cancelled)?;
         let item = state.job.items.get(key.item as usize)?.clone();
-        if state.finished[key.item as usize] {
+        if state.has_result[key.item as usize] {
             return None;
         }
         let table = self.known.table()?;
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -32,7 +32,7 @@
     /// Makes a change as the head of a group in `view`; gives the place of its entry.
     pub(super) fn change(&self, view: &StoreView, group: GroupNumber, command: Command) -> EntryPosition {
         let results = match &command {
-            Command::Finish { results, .. } => results.len(),
+            Command::RecordResults { results, .. } => results.len(),
             _ => 0,
         };
         self.made.count(results);
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -191,10 +191,10 @@
             if replica.knows_nothing_committed() {
                 continue;
             }
-            for state in replica.state().jobs().filter(|state| !state.is_over()) {
+            for state in replica.state().jobs().filter(|state| !state.is_complete()) {
                 let route = table.configuration.routes.iter().find(|route| route.name == state.job.route);
                 let due_ms = state.job.received_ms + route.map_or(0, |route| route.batch_target_ms);
-                for item in state.open_items() {
+                for item in state.unfinished_items() {
                     let key = ItemKey { group, job: state.job.id.clone(), item };
                     if !running.contains_key(&key) {
                         let tokens = state.job.items[item as usize].tokens;
@@ -232,9 +232,9 @@
     /// The service whose servers an item goes to; an empty name where it can only be given up; none if it is over.
     fn service_of(&self, key: &ItemKey) -> Option<String> {
         let replica = self.replica(key.group).borrow();
-        let state = replica.state().job(&key.job).filter(|state| !state.ended)?;
+        let state = replica.state().job(&key.job).filter(|state| !state.cancelled)?;
         let item = state.job.items.get(key.item as usize)?;
-        if state.finished[key.item as usize] {
+        if state.has_result[key.item as usize] {
             return None;
         }
         let route = batch_route(&*self.known.table()?, &state.job, item);
@@ -250,7 +250,7 @@
         loop {
             let view = self.view();
             if self.takes_changes(&view, key.group) {
-                let finish = Command::Finish { job: key.job.clone(), results: vec![result] };
+                let finish = Command::RecordResults { job: key.job.clone(), results: vec![result] };
                 self.change(&view, key.group, finish);
                 return;
             }
@@ -303,7 +303,7 @@
             let old: Vec<String> = {
                 let replica = self.replica(group).borrow();
                 let jobs = replica.state().jobs();
-                jobs.filter(|state| state.is_over() && state.job.received_ms + kept_ms < now_ms)
+                jobs.filter(|state| state.is_complete() && state.job.received_ms + kept_ms < now_ms)
                     .map(|state| state.job.id.clone())
                     .collect()
             };
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -72,7 +72,7 @@
             Ending::NotHere => return self.not_here(&view, group, &job).await,
             Ending::Known(entry) => entry,
             Ending::New => {
-                let entry = self.change(&view, group, Command::End { job: job.clone() });
+                let entry = self.change(&view, group, Command::Cancel { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
             }
@@ -86,7 +86,7 @@
     /// The answer for a batch job that this head does not have.
     async fn not_here(self: &Rc<Self>, view: &StoreView, group: GroupNumber, job: &str) -> StoreReply {
         match self.confirmed(view, group).await {
-            true if self.replica(group).borrow().state().may_be_given_up(job) => StoreReply::GivenUp,
+            true if self.replica(group).borrow().state().may_have_given_up(job) => StoreReply::GivenUp,
             true => StoreReply::NotFound,
             false => StoreReply::Unsure,
         }
@@ -150,9 +150,9 @@
             return StoreReply::Unsure;
         }
         let replica = self.replica(group).borrow();
-        match replica.state().body(tenant, job, item) {
+        match replica.state().unfinished_item_body(tenant, job, item) {
             Some(body) => StoreReply::Body(body.to_vec().into()),
-            None if replica.state().may_be_given_up(job) => StoreReply::GivenUp,
+            None if replica.state().may_have_given_up(job) => StoreReply::GivenUp,
             None => StoreReply::NotFound,
         }
     }
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -104,8 +104,8 @@
 }
 
 fn finish(text: &str) -> Command {
-    let result = ItemResult { item: 0, outcome: ItemOutcome::Succeeded, text: text.to_owned() };
-    Command::Finish { job: JOB.into(), results: vec![result] }
+    let result = ItemResult { item_index: 0, outcome: ItemOutcome::Succeeded, text: text.to_owned() };
+    Command::RecordResults { job: JOB.into(), results: vec![result] }
 }
 
 async fn read(running: &Running, epoch: u64) -> Option<Page> {
@@ -181,7 +181,7 @@
         }
         link.replica(GROUP).borrow_mut().create(GROUP, 1, finish("made alone"));
         let first = head.create(GROUP, 2, finish("of the chain"));
-        let last = head.create(GROUP, 2, Command::End { job: JOB.into() });
+        let last = head.create(GROUP, 2, Command::Cancel { job: JOB.into() });
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -80,7 +80,7 @@
         received_ms: wall_clock().as_millis() as u64,
         items,
     };
-    job.check(&access.route.path_prefix).map_err(|reason| reason.to_string())?;
+    job.validate(&access.route.path_prefix).map_err(|reason| reason.to_string())?;
     Ok(job)
 }
 
@@ -232,7 +232,7 @@
     let results: Vec<serde_json::Value> = page.results.iter().map(result).collect();
     let mut answer = HttpResponse::Ok();
     front::close_if_stopping(plane, &mut answer);
-    answer.json(serde_json::json!({ "total": page.total, "next_token": page.next, "results": results }))
+    answer.json(serde_json::json!({ "total": page.total_items, "next_token": page.next_position, "results": results }))
 }
 
 #[derive(Deserialize)]
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -49,11 +49,11 @@
         if !self.takes_changes(role) {
             return Submission::NotTaken;
         }
-        match self.state().admission(job, most_queued) {
+        match self.state().check_admission(job, most_queued) {
             Admission::OverQuota { .. } => Submission::OverQuota,
             Admission::GivenUp => Submission::GivenUp,
-            Admission::Known => Submission::Known(self.position()),
-            Admission::Fits => Submission::New,
+            Admission::AlreadyAccepted => Submission::Known(self.position()),
+            Admission::Admitted => Submission::New,
         }
     }
 
@@ -62,7 +62,7 @@
         if !self.takes_changes(role) {
             return Ending::NotTaken;
         }
-        match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.ended) {
+        match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.cancelled) {
             None => Ending::NotHere,
             Some(true) => Ending::Known(self.position()),
             Some(false) => Ending::New,
--- a/crates/replication/src/reading.rs
+++ b/crates/replication/src/reading.rs
@@ -97,7 +97,7 @@
                 },
                 Stage::Holding => match self.page(replica) {
                     Err(missing) => return missing,
-                    Ok(page) if page.results.is_empty() && !page.complete && now < self.hold => {
+                    Ok(page) if page.results.is_empty() && !page.is_complete && now < self.hold => {
                         return ReadStep::Wait(self.hold);
                     }
                     Ok(page) => {
@@ -122,9 +122,9 @@
     fn page(&self, replica: &Replica) -> Result<Page, ReadStep> {
         let Query { tenant, job, start } = &self.query;
         let state = replica.state();
-        match state.page(tenant, job, *start) {
+        match state.results_page(tenant, job, *start) {
             Some(page) => Ok(page),
-            None if state.may_be_given_up(job) => Err(ReadStep::GivenUp),
+            None if state.may_have_given_up(job) => Err(ReadStep::GivenUp),
             None => Err(ReadStep::NotFound),
         }
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -127,7 +127,7 @@
 
     /// Whether what is here is of the group as it was begun last.
     pub fn is_begun(&self, role: &Role) -> bool {
-        self.state.begun_in() >= role.begun_in || self.has(ReplicaBug::KeepsWhatWasGivenUp)
+        self.state.recreated_in_epoch() >= role.begun_in || self.has(ReplicaBug::KeepsWhatWasGivenUp)
     }
 
     /// This store is the head in that role: it stands where the chain stands. Where the group was given up and still is here as it was,
@@ -140,9 +140,9 @@
             self.level_in = role.epoch;
             return None;
         }
-        let mut given_up = self.state.names();
+        let mut given_up = self.state.known_job_ids();
         given_up.extend(role.given_up.iter().cloned());
-        let begin = Command::Begin { view: role.begun_in, given_up };
+        let begin = Command::Recreate { epoch: role.begun_in, given_up_jobs: given_up };
         *self = Self { planted: self.planted, ..Self::default() };
         self.create(group, role.epoch, begin);
         Some(self.copy())
@@ -248,10 +248,10 @@
             return Installed::Outdated;
         }
         let Ok(state) = decode::<GroupState>(&copy.state) else { return Installed::Unreadable };
-        if state.begun_in() < self.state.begun_in() {
+        if state.recreated_in_epoch() < self.state.recreated_in_epoch() {
             return Installed::Outdated;
         }
-        let was_given_up = state.begun_in() > self.state.begun_in();
+        let was_given_up = state.recreated_in_epoch() > self.state.recreated_in_epoch();
         let drops_shown = (log.lacks(self.shown) && !was_given_up).then_some(self.shown);
         if !extends && !self.has(ReplicaBug::MarksOutliveCopy) {
             (self.synced, self.committed, self.level_in) = (0, 0, 0);
--- a/crates/replication/tests/decisions.rs
+++ b/crates/replication/tests/decisions.rs
@@ -25,8 +25,8 @@
 }
 
 fn finish(id: &str) -> Command {
-    let result = ItemResult { item: 0, outcome: ItemOutcome::Succeeded, text: format!("text of {id}") };
-    Command::Finish { job: id.into(), results: vec![result] }
+    let result = ItemResult { item_index: 0, outcome: ItemOutcome::Succeeded, text: format!("text of {id}") };
+    Command::RecordResults { job: id.into(), results: vec![result] }
 }
 
 fn view(epoch: u64, chain: &[u32], absent: &[u32], begun_in: u64) -> StoreView {
@@ -119,7 +119,7 @@
 #[test]
 fn a_head_decides_about_changes() {
     let (mut open, entries) = head(2, &[Command::Accept(job("a")), Command::Accept(job("b"))]);
-    open.create(GROUP, 2, Command::End { job: "b".into() });
+    open.create(GROUP, 2, Command::Cancel { job: "b".into() });
     let closed = role_in(&view(2, &[1], &[2, 3], 0), 1);
     let first = Some(role(2, 1));
     let submissions = [
@@ -265,7 +265,7 @@
     for (id, submission) in expected {
         assert_eq!(replica.submission(Some(&first), &job(id), 0), submission, "{id}");
     }
-    assert!(replica.state().may_be_given_up("old") && replica.state().may_be_given_up("whoever"));
+    assert!(replica.state().may_have_given_up("old") && replica.state().may_have_given_up("whoever"));
 
     let mut tail = Replica::default();
     let third = role_in(&anew, 3).expect("a link");
--- a/crates/simulation/src/stores/answering.rs
+++ b/crates/simulation/src/stores/answering.rs
@@ -78,14 +78,14 @@
                 let role = self.changing_role(group);
                 let entry = match self.replica(group).ending(role.as_ref(), &tenant, &job) {
                     Ending::NotTaken => return Some(Answer::NotTaken),
-                    Ending::NotHere if self.replica(group).state().may_be_given_up(&job) => {
+                    Ending::NotHere if self.replica(group).state().may_have_given_up(&job) => {
                         return Some(Answer::GivenUp);
                     }
                     Ending::NotHere => return Some(Answer::Unsure),
                     Ending::Known(entry) => entry,
                     Ending::New => {
                         self.stop_items(&job);
-                        self.change(group, Command::End { job }, step)
+                        self.change(group, Command::Cancel { job }, step)
                     }
                 };
                 self.wait_for_commit(group, entry, call, step);
--- a/crates/simulation/src/stores/client.rs
+++ b/crates/simulation/src/stores/client.rs
@@ -91,7 +91,7 @@
     };
     PageSeen {
         start: start as usize,
-        total: page.total as usize,
+        total: page.total_items as usize,
         results: page.results.iter().map(listed).collect(),
     }
 }
--- a/crates/simulation/src/stores/exhaustive/world.rs
+++ b/crates/simulation/src/stores/exhaustive/world.rs
@@ -336,7 +336,7 @@
             return Some("a result that was shown is gone");
         }
         for (position, (_, result)) in page.results.iter().enumerate() {
-            let listed = (result.item, result.text.clone());
+            let listed = (result.item_index, result.text.clone());
             match self.seen.shown.get(position) {
                 Some(before) if *before != listed => return Some("a position holds another result"),
                 Some(_) => {}
--- a/crates/simulation/src/stores/items.rs
+++ b/crates/simulation/src/stores/items.rs
@@ -23,8 +23,8 @@
             let open: Vec<(String, u32)> = replica
                 .state()
                 .jobs()
-                .filter(|state| !state.is_over())
-                .flat_map(|state| state.open_items().map(|item| (state.job.id.clone(), item)))
+                .filter(|state| !state.is_complete())
+                .flat_map(|state| state.unfinished_items().map(|item| (state.job.id.clone(), item)))
                 .collect();
             for (job, item) in open {
                 let runs = self.tasks.values().filter(|task| matches!(task, Task::Run { .. })).count();
@@ -67,7 +67,7 @@
             .replicas
             .get(&group)
             .and_then(|replica| replica.state().job(&job))
-            .is_none_or(|state| state.ended || state.finished[item as usize]);
+            .is_none_or(|state| state.cancelled || state.has_result[item as usize]);
         let Some(id) = self.job(group, &job).map(|job| job.items[item as usize].id.clone()) else {
             return (None, true);
         };
@@ -96,8 +96,8 @@
                 Running::Done { text }
             }
             Running::Done { text } if self.takes_changes(group) => {
-                let result = ItemResult { item, outcome: ItemOutcome::Succeeded, text };
-                let entry = self.change(group, Command::Finish { job, results: vec![result] }, step);
+                let result = ItemResult { item_index: item, outcome: ItemOutcome::Succeeded, text };
+                let entry = self.change(group, Command::RecordResults { job, results: vec![result] }, step);
                 self.unlisted.push((group, entry, id));
                 return (None, true);
             }
--- a/crates/simulation/src/stores/store.rs
+++ b/crates/simulation/src/stores/store.rs
@@ -271,8 +271,9 @@
     pub fn of_groups(&self) -> OfGroups {
         let groups = || self.groups.iter().copied();
         let heads = |group: &GroupNumber| self.role(*group).is_some_and(|role| role.is_head());
-        let names =
-            |group| self.replicas.get(&group).map(|replica| replica.state().names()).unwrap_or_default();
+        let names = |group| {
+            self.replicas.get(&group).map(|replica| replica.state().known_job_ids()).unwrap_or_default()
+        };
         OfGroups {
             entries: groups().map(|group| (group, self.entries(group))).collect(),
             names: groups().filter(heads).map(|group| (group, names(group))).collect(),
