--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,5 +1,7 @@
-//! Batch jobs: what is accepted, its results at fixed positions, its end, and the count of queued tokens by tenant and
-//! route. Pure: a group's state follows from its commands in order, alike at every copy.
+//! Batch jobs, their results and the count of queued tokens, as a deterministic state machine.
+//!
+//! Batch jobs are spread over replicated groups. `GroupState` is the state of one group: every replica applies the
+//! same commands in the same order and so arrives at the same state. The crate does no I/O and reads no clock.
 
 mod job;
 mod state;
--- a/crates/batch/src/state.rs
+++ b/crates/batch/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a group: its batch jobs and the count of queued tokens.
+//! The state of one group: its batch jobs, their results, and the queued tokens by tenant and route.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,39 +6,36 @@
 
 use crate::{Item, ItemResult, Job};
 
-/// The limit that one reading of results holds, in bytes of text.
+/// Limit on the text in one page of results, in bytes. A page whose first result alone is longer exceeds it.
 pub const MAX_PAGE_TEXT_BYTES: usize = 900_000;
 
-/// A change of a group. Changes that have no effect any more are left out silently, alike at every copy.
+/// A change to a group. A command that no longer applies (its job is unknown, its item has a result) has no effect,
+/// on every replica alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
+    /// Adds a job; no effect if a job with that id exists.
     Accept(Job),
-    RecordResults {
-        job: String,
-        results: Vec<ItemResult>,
-    },
-    Cancel {
-        job: String,
-    },
-    Remove {
-        job: String,
-    },
-    /// The first change of a group that was given up: it is begun anew in that view, without the batch jobs that it held. Of some of
-    /// them the names are known.
-    Recreate {
-        epoch: u64,
-        given_up_jobs: BTreeSet<String>,
-    },
+    /// Appends results to a job; a result for an item that has one is ignored.
+    RecordResults { job: String, results: Vec<ItemResult> },
+    /// Marks a job as cancelled by its owner; its unfinished items do not run.
+    Cancel { job: String },
+    /// Forgets a job with its results.
+    Remove { job: String },
+    /// Replaces a group whose data an operator gave up by an empty one, in the view with this epoch. `given_up_jobs`
+    /// holds the ids of the lost jobs as far as they are known; they are not accepted again.
+    Recreate { epoch: u64, given_up_jobs: BTreeSet<String> },
 }
 
-/// A batch job with what has become of it.
+/// A batch job with its results so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct JobState {
+    /// The job as submitted, without the bodies of items that need not run any more.
     pub job: Job,
-    /// In the order of their positions.
+    /// Results in the order in which they were recorded. A result's index here is its position, which never changes.
     pub results: Vec<ItemResult>,
-    /// By item: whether it has a result.
+    /// For each item, by its index: whether it has a result.
     pub has_result: Vec<bool>,
+    /// Whether the job's owner cancelled it.
     pub cancelled: bool,
 }
 
@@ -48,17 +45,18 @@
         Self { job, results: Vec::new(), has_result, cancelled: false }
     }
 
-    /// Whether nothing is left to run.
+    /// Returns true if no item is left to run: every item has a result, or the job was cancelled.
     pub fn is_complete(&self) -> bool {
         self.cancelled || self.results.len() == self.has_result.len()
     }
 
-    /// Items without a result, by their place.
+    /// Returns the indexes of the items without a result, also those of a cancelled job.
     pub fn unfinished_items(&self) -> impl Iterator<Item = u32> + '_ {
-        let open = self.has_result.iter().enumerate().filter(|(_, finished)| !**finished);
-        open.map(|(item, _)| item as u32)
+        let unfinished = self.has_result.iter().enumerate().filter(|(_, has_result)| !**has_result);
+        unfinished.map(|(index, _)| index as u32)
     }
 
+    /// Returns the tokens of the items that may still run.
     fn queued_tokens(&self) -> u64 {
         match self.cancelled {
             true => 0,
@@ -67,46 +65,52 @@
     }
 }
 
-/// Results read from a position on.
+/// A page of a job's results, from a given position on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Page {
+    /// Number of items in the job.
     pub total_items: u32,
+    /// Position of the first result after this page: where the next read starts.
     pub next_position: u32,
-    /// Each with the id of its item.
+    /// Results in the order of their positions, each with its item's id.
     pub results: Vec<(String, ItemResult)>,
-    /// Whether no more results can come.
+    /// Whether the job is complete: no item is left to run.
     pub is_complete: bool,
 }
 
-/// The answer to whether a batch job may be accepted.
+/// Whether a submitted batch job may be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// The job may be accepted.
     Admitted,
-    /// It is there already.
+    /// The group already has a job with this id.
     AlreadyAccepted,
-    /// It was given up with all that its group held: its name is not used again.
+    /// A job with this id was lost when an operator gave up the group; the id cannot be used again.
     GivenUp,
-    /// Its tenant would have more tokens queued on the route than allowed.
+    /// With this job, the tenant would exceed its limit of queued tokens on the route.
     OverQuota {
+        /// Tokens queued by the tenant on the route without this job.
         queued: u64,
+        /// Largest number of queued tokens allowed.
         limit: u64,
     },
 }
 
-/// All batch jobs of a group.
+/// All batch jobs of one group, in the order of their ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupState {
     jobs: BTreeMap<String, JobState>,
-    /// Queued tokens by tenant and route.
+    /// Queued tokens by (tenant, route); without entries that are 0.
     queued: BTreeMap<(String, String), u64>,
-    /// The view in which the group was begun anew; 0 where it never was.
+    /// Epoch of the view in which the group was recreated after it was given up; 0 if it never was.
     recreated_in_epoch: u64,
-    /// Batch jobs that are known to have been given up.
+    /// Ids of jobs that are known to have been lost with the group when it was given up.
     given_up_jobs: BTreeSet<String>,
 }
 
 impl GroupState {
-    /// Whether a job may be accepted where `limit` tokens (0: any number) may be queued.
+    /// Checks whether a job may be accepted if its tenant may have at most `limit` tokens queued on the job's route
+    /// (0: no limit).
     pub fn check_admission(&self, job: &Job, limit: u64) -> Admission {
         if self.jobs.contains_key(&job.id) {
             return Admission::AlreadyAccepted;
@@ -121,35 +125,38 @@
         }
     }
 
-    /// Tokens of a tenant's items on a route that are neither finished nor ended.
+    /// Returns the tokens of the tenant's unfinished items on a route, without those of cancelled jobs.
     pub fn queued_tokens(&self, tenant: &str, route: &str) -> u64 {
         self.queued.get(&(tenant.to_owned(), route.to_owned())).copied().unwrap_or(0)
     }
 
+    /// Returns the job with this id.
     pub fn job(&self, id: &str) -> Option<&JobState> {
         self.jobs.get(id)
     }
 
+    /// Returns all jobs in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = &JobState> {
         self.jobs.values()
     }
 
-    /// The view in which the group was begun anew; 0 where it never was.
+    /// Returns the epoch of the view in which the group was recreated after it was given up; 0 if it never was.
     pub fn recreated_in_epoch(&self) -> u64 {
         self.recreated_in_epoch
     }
 
-    /// Whether a batch job that is not here may have been given up with the group.
+    /// Returns true if a job that the group does not have may have been lost when the group was given up. Not all ids
+    /// of lost jobs are known, so this holds for every unknown id once the group was recreated.
     pub fn may_have_given_up(&self, id: &str) -> bool {
         self.recreated_in_epoch > 0 && !self.jobs.contains_key(id)
     }
 
-    /// Names of all batch jobs that are lost once the group is given up.
+    /// Returns the ids of the jobs that are lost if the group is given up now, and of those lost before.
     pub fn known_job_ids(&self) -> BTreeSet<String> {
         self.jobs.keys().chain(&self.given_up_jobs).cloned().collect()
     }
 
-    /// Carries out a change.
+    /// Applies a command.
     pub fn apply(&mut self, command: Command) {
         match command {
             Command::Accept(job) => self.accept(job),
@@ -174,8 +181,8 @@
         let Some(state) = self.jobs.get_mut(id) else { return };
         let mut released = 0;
         for result in results {
-            let Some(finished) = state.has_result.get_mut(result.item_index as usize) else { continue };
-            if std::mem::replace(finished, true) {
+            let Some(has_result) = state.has_result.get_mut(result.item_index as usize) else { continue };
+            if std::mem::replace(has_result, true) {
                 continue;
             }
             let item: &mut Item = &mut state.job.items[result.item_index as usize];
@@ -204,6 +211,7 @@
         self.release((state.job.tenant, state.job.route), released);
     }
 
+    /// Subtracts tokens that are no longer queued from the count of a tenant and route.
     fn release(&mut self, key: (String, String), tokens: u64) {
         if let Some(queued) = self.queued.get_mut(&key) {
             *queued = queued.saturating_sub(tokens);
@@ -213,7 +221,8 @@
         }
     }
 
-    /// Results from a position on; at least one if one exists. None if the job is unknown or another tenant's.
+    /// Returns the results from `start_position` on, up to `MAX_PAGE_TEXT_BYTES` of text but at least one if there is
+    /// one. Returns `None` if the job is unknown or belongs to another tenant.
     pub fn results_page(&self, tenant: &str, id: &str, start_position: u32) -> Option<Page> {
         let state = self.jobs.get(id).filter(|state| state.job.tenant == tenant)?;
         let mut results = Vec::new();
@@ -233,10 +242,11 @@
         })
     }
 
-    /// The body of an item that has no result yet.
+    /// Returns the request body of an item without a result. Returns `None` if the item has a result, the job was
+    /// cancelled, or the tenant has no such job or item.
     pub fn unfinished_item_body(&self, tenant: &str, id: &str, item: &str) -> Option<&[u8]> {
         let state = self.jobs.get(id).filter(|state| state.job.tenant == tenant && !state.cancelled)?;
-        let place = state.job.items.iter().position(|there| there.id == item)?;
-        (!state.has_result[place]).then(|| state.job.items[place].body.as_slice())
+        let index = state.job.items.iter().position(|candidate| candidate.id == item)?;
+        (!state.has_result[index]).then(|| state.job.items[index].body.as_slice())
     }
 }
--- a/crates/batch/src/tests.rs
+++ b/crates/batch/src/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 fn job(id: &str, tenant: &str, tokens: &[u64]) -> Job {
-    let item = |(place, tokens): (usize, &u64)| Item {
-        id: format!("{id}-{place}"),
+    let item = |(index, tokens): (usize, &u64)| Item {
+        id: format!("{id}-{index}"),
         path: "/p/1".to_owned(),
         headers: vec![],
-        body: vec![place as u8; 3],
+        body: vec![index as u8; 3],
         tokens: *tokens,
     };
     Job {
@@ -22,31 +22,31 @@
     ItemResult { item_index: item, outcome: ItemOutcome::Succeeded, text: text.to_owned() }
 }
 
-fn finish(job: &str, results: Vec<ItemResult>) -> Command {
+fn record_results(job: &str, results: Vec<ItemResult>) -> Command {
     Command::RecordResults { job: job.to_owned(), results }
 }
 
-fn end(job: &str) -> Command {
+fn cancel(job: &str) -> Command {
     Command::Cancel { job: job.to_owned() }
 }
 
 #[test]
-fn queued_tokens_follow_every_change() {
+fn queued_token_count_follows_every_command() {
     let steps: Vec<(&str, Command, u64)> = vec![
-        ("accepted", Command::Accept(job("j", "t", &[10, 20, 30])), 60),
-        ("accepted twice", Command::Accept(job("j", "t", &[10, 20, 30])), 60),
-        ("another tenant's", Command::Accept(job("k", "u", &[5])), 60),
-        ("one finished", finish("j", vec![result(1, "x")]), 40),
-        ("finished twice", finish("j", vec![result(1, "y")]), 40),
-        ("no such item", finish("j", vec![result(9, "y")]), 40),
-        ("no such job", finish("z", vec![result(0, "y")]), 40),
-        ("ended", end("j"), 0),
-        ("ended twice", end("j"), 0),
-        ("finished after its end", finish("j", vec![result(0, "z")]), 0),
-        ("accepted again after its end", Command::Accept(job("j", "t", &[10, 20, 30])), 0),
-        ("one more", Command::Accept(job("l", "t", &[7])), 7),
-        ("removed", Command::Remove { job: "l".to_owned() }, 0),
-        ("removed after its end", Command::Remove { job: "j".to_owned() }, 0),
+        ("job accepted", Command::Accept(job("j", "t", &[10, 20, 30])), 60),
+        ("same job accepted twice", Command::Accept(job("j", "t", &[10, 20, 30])), 60),
+        ("job of another tenant", Command::Accept(job("k", "u", &[5])), 60),
+        ("result recorded", record_results("j", vec![result(1, "x")]), 40),
+        ("second result for the same item", record_results("j", vec![result(1, "y")]), 40),
+        ("result for an unknown item", record_results("j", vec![result(9, "y")]), 40),
+        ("result for an unknown job", record_results("z", vec![result(0, "y")]), 40),
+        ("job cancelled", cancel("j"), 0),
+        ("job cancelled twice", cancel("j"), 0),
+        ("result after the cancellation", record_results("j", vec![result(0, "z")]), 0),
+        ("cancelled job accepted again", Command::Accept(job("j", "t", &[10, 20, 30])), 0),
+        ("another job accepted", Command::Accept(job("l", "t", &[7])), 7),
+        ("job removed", Command::Remove { job: "l".to_owned() }, 0),
+        ("cancelled job removed", Command::Remove { job: "j".to_owned() }, 0),
     ];
     let mut state = GroupState::default();
     for (name, command, queued) in steps {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn admission_counts_what_is_queued() {
+fn admission_counts_tokens_already_queued() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[10, 20])));
     let cases = [
@@ -67,63 +67,63 @@
         (job("k", "t", &[1_000]), 0, Admission::Admitted),
         (job("j", "t", &[1_000]), 40, Admission::AlreadyAccepted),
     ];
-    for (job, most, expected) in cases {
-        assert_eq!(state.check_admission(&job, most), expected, "{} {}", job.id, job.tenant);
+    for (job, limit, expected) in cases {
+        assert_eq!(state.check_admission(&job, limit), expected, "{} {}", job.id, job.tenant);
     }
 }
 
 #[test]
-fn a_position_never_changes() {
+fn position_of_a_result_never_changes() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[1, 1, 1])));
-    state.apply(finish("j", vec![result(2, "two"), result(0, "zero")]));
-    state.apply(finish("j", vec![result(2, "other"), result(1, "one")]));
-    let page = state.results_page("t", "j", 0).expect("there");
+    state.apply(record_results("j", vec![result(2, "two"), result(0, "zero")]));
+    state.apply(record_results("j", vec![result(2, "other"), result(1, "one")]));
+    let page = state.results_page("t", "j", 0).expect("page");
     let read: Vec<(&str, &str)> =
         page.results.iter().map(|(id, result)| (id.as_str(), result.text.as_str())).collect();
     assert_eq!(read, [("j-2", "two"), ("j-0", "zero"), ("j-1", "one")]);
     assert_eq!((page.total_items, page.next_position, page.is_complete), (3, 3, true));
-    assert_eq!(state.results_page("t", "j", 2).expect("there").results.len(), 1);
-    assert!(state.results_page("u", "j", 0).is_none(), "another tenant's");
+    assert_eq!(state.results_page("t", "j", 2).expect("page").results.len(), 1);
+    assert!(state.results_page("u", "j", 0).is_none(), "job of another tenant");
 }
 
 #[test]
-fn a_page_is_bounded_but_never_empty_where_there_is_a_result() {
+fn page_is_limited_in_size_but_holds_at_least_one_result() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[1, 1])));
     let long = "x".repeat(MAX_PAGE_TEXT_BYTES + 1);
-    state.apply(finish("j", vec![result(0, &long), result(1, &long)]));
-    let page = state.results_page("t", "j", 0).expect("there");
+    state.apply(record_results("j", vec![result(0, &long), result(1, &long)]));
+    let page = state.results_page("t", "j", 0).expect("page");
     assert_eq!((page.results.len(), page.next_position), (1, 1));
 }
 
 #[test]
-fn bodies_are_there_until_the_result_or_the_end() {
+fn bodies_are_readable_until_the_result_or_the_cancellation() {
     let mut state = GroupState::default();
     state.apply(Command::Accept(job("j", "t", &[1, 1])));
     assert_eq!(state.unfinished_item_body("t", "j", "j-1"), Some([1, 1, 1].as_slice()));
     assert_eq!(state.unfinished_item_body("u", "j", "j-1"), None);
-    state.apply(finish("j", vec![result(1, "x")]));
+    state.apply(record_results("j", vec![result(1, "x")]));
     assert_eq!(state.unfinished_item_body("t", "j", "j-1"), None);
-    state.apply(end("j"));
+    state.apply(cancel("j"));
     assert_eq!(state.unfinished_item_body("t", "j", "j-0"), None);
 }
 
 #[test]
-fn malformed_jobs_are_refused_with_item_and_reason() {
-    let mut twice = job("j", "t", &[1, 1]);
-    twice.items[1].id = "j-0".to_owned();
-    let mut nameless = job("j", "t", &[1]);
-    nameless.items[0].id = String::new();
-    let mut foreign = job("j", "t", &[1]);
-    foreign.items[0].path = "/q/1".to_owned();
+fn malformed_jobs_are_rejected_with_item_and_reason() {
+    let mut duplicate_id = job("j", "t", &[1, 1]);
+    duplicate_id.items[1].id = "j-0".to_owned();
+    let mut empty_id = job("j", "t", &[1]);
+    empty_id.items[0].id = String::new();
+    let mut path_outside_route = job("j", "t", &[1]);
+    path_outside_route.items[0].path = "/q/1".to_owned();
     let cases = [
         (job("", "t", &[1]), Err(JobError::MissingId)),
         (job("j", "t", &[]), Err(JobError::ItemCount(0))),
         (job("j", "t", &[1; 201]), Err(JobError::ItemCount(201))),
-        (twice, Err(JobError::DuplicateItem("j-0".to_owned()))),
-        (nameless, Err(JobError::EmptyItemId(0))),
-        (foreign, Err(JobError::PathOutsideRoute("j-0".to_owned()))),
+        (duplicate_id, Err(JobError::DuplicateItem("j-0".to_owned()))),
+        (empty_id, Err(JobError::EmptyItemId(0))),
+        (path_outside_route, Err(JobError::PathOutsideRoute("j-0".to_owned()))),
         (job("j", "t", &[1; 200]), Ok(())),
     ];
     for (job, expected) in cases {
