--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Identity, Planner, StoreNumber, StoreReport, StoreView};
-use fennelgauge_wire::StorePresence;
+use fennelgauge_wire::StoreHeartbeat;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -59,8 +59,8 @@
 
 impl Presence {
     /// A store told of itself.
-    pub fn hear(&self, told: StorePresence) {
-        let StorePresence { heard, entries, accepted } = told;
+    pub fn hear(&self, told: StoreHeartbeat) {
+        let StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted } = told;
         self.take_names(accepted);
         let at = Instant::now();
         let identity = heard.member.identity.clone();
@@ -133,7 +133,7 @@
             first_heard = first_heard.or(Some(Instant::now()));
         }
         let may_begin = first_heard.is_some_and(|at| at.elapsed() > FIRST_WAIT);
-        let losses = core.settings.tolerate.losses();
+        let losses = core.settings.tolerate.tolerated_failures();
         let Some(state) = core.committed_state() else { continue };
         record_names(&core, &state, &fresh).await;
         let Some(change) = planned(&state, &fresh, losses, may_begin) else { continue };
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -22,11 +22,11 @@
         job: Job,
         most_queued: u64,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
         let submission = self.replica(group).borrow().decide_submission(role.as_ref(), &job, most_queued);
         let entry = match submission {
-            SubmissionDecision::NotWritable => return StoreReply::NotTaken,
+            SubmissionDecision::NotWritable => return StoreReply::NotAccepted,
             SubmissionDecision::OverQuota => return StoreReply::OverQuota,
             SubmissionDecision::GivenUp => return StoreReply::GivenUp,
             SubmissionDecision::AlreadyAccepted(entry) => entry,
@@ -34,11 +34,11 @@
                 self.taken_here.borrow_mut().insert(job.id.clone(), group);
                 self.change(&view, group, Command::Accept(job))
             }
-            SubmissionDecision::Accept => return StoreReply::NotTaken,
+            SubmissionDecision::Accept => return StoreReply::NotAccepted,
         };
         match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
-            false => StoreReply::Unknown,
+            false => StoreReply::OutcomeUnknown,
         }
     }
 
@@ -64,31 +64,31 @@
         tenant: &str,
         job: String,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotTaken };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
         let ending = self.replica(group).borrow().decide_end(role.as_ref(), tenant, &job);
         let entry = match ending {
-            EndDecision::NotWritable => return StoreReply::NotTaken,
+            EndDecision::NotWritable => return StoreReply::NotAccepted,
             EndDecision::NotFound => return self.not_here(&view, group, &job).await,
             EndDecision::AlreadyEnded(entry) => entry,
             EndDecision::End => {
-                let entry = self.change(&view, group, Command::End { job: job.clone() });
+                let entry = self.change(&view, group, Command::Cancel { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
             }
         };
         match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
-            false => StoreReply::Unknown,
+            false => StoreReply::OutcomeUnknown,
         }
     }
 
     /// The answer for a batch job that this head does not have.
     async fn not_here(self: &Rc<Self>, view: &StoreView, group: GroupNumber, job: &str) -> StoreReply {
         match self.confirmed(view, group).await {
-            true if self.replica(group).borrow().state().may_be_given_up(job) => StoreReply::GivenUp,
+            true if self.replica(group).borrow().state().may_have_given_up(job) => StoreReply::GivenUp,
             true => StoreReply::NotFound,
-            false => StoreReply::Unsure,
+            false => StoreReply::Undetermined,
         }
     }
 
@@ -101,10 +101,10 @@
         hold: Duration,
     ) -> StoreReply {
         let began = Instant::now();
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::Unsure };
+        let Some(view) = self.view_of(epoch).await else { return StoreReply::Undetermined };
         let (job, start) = (query.job.clone(), query.start);
         let Some(mut reading) = ReadOperation::new(self.role(&view, group), query, hold) else {
-            return StoreReply::Unsure;
+            return StoreReply::Undetermined;
         };
         for (link, position) in self.ask_positions(&view, group, reading.confirming_links()).await {
             reading.record_answer(link, position);
@@ -133,7 +133,7 @@
                 }
                 ReadStep::NotFound => return StoreReply::NotFound,
                 ReadStep::GivenUp => return StoreReply::GivenUp,
-                ReadStep::Undetermined => return StoreReply::Unsure,
+                ReadStep::Undetermined => return StoreReply::Undetermined,
             }
         }
     }
@@ -147,12 +147,12 @@
         item: &str,
     ) -> StoreReply {
         if !self.is_readable(epoch, group).await {
-            return StoreReply::Unsure;
+            return StoreReply::Undetermined;
         }
         let replica = self.replica(group).borrow();
-        match replica.state().body(tenant, job, item) {
+        match replica.state().unfinished_item_body(tenant, job, item) {
             Some(body) => StoreReply::Body(body.to_vec().into()),
-            None if replica.state().may_be_given_up(job) => StoreReply::GivenUp,
+            None if replica.state().may_have_given_up(job) => StoreReply::GivenUp,
             None => StoreReply::NotFound,
         }
     }
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -49,11 +49,11 @@
         if !self.accepts_writes(role) {
             return SubmissionDecision::NotWritable;
         }
-        match self.state().admission(job, most_queued) {
+        match self.state().check_admission(job, most_queued) {
             Admission::OverQuota { .. } => SubmissionDecision::OverQuota,
             Admission::GivenUp => SubmissionDecision::GivenUp,
-            Admission::Known => SubmissionDecision::AlreadyAccepted(self.position()),
-            Admission::Fits => SubmissionDecision::Accept,
+            Admission::AlreadyAccepted => SubmissionDecision::AlreadyAccepted(self.position()),
+            Admission::Admitted => SubmissionDecision::Accept,
         }
     }
 
@@ -62,7 +62,7 @@
         if !self.accepts_writes(role) {
             return EndDecision::NotWritable;
         }
-        match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.ended) {
+        match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.cancelled) {
             None => EndDecision::NotFound,
             Some(true) => EndDecision::AlreadyEnded(self.position()),
             Some(false) => EndDecision::End,
--- a/crates/replication/src/reading.rs
+++ b/crates/replication/src/reading.rs
@@ -101,7 +101,7 @@
                 },
                 Stage::AwaitingResults => match self.page(replica) {
                     Err(missing) => return missing,
-                    Ok(page) if page.results.is_empty() && !page.complete && now < self.long_poll => {
+                    Ok(page) if page.results.is_empty() && !page.is_complete && now < self.long_poll => {
                         return ReadStep::Wait(self.long_poll);
                     }
                     Ok(page) => Stage::AwaitingDurability {
@@ -130,9 +130,9 @@
     fn page(&self, replica: &Replica) -> Result<Page, ReadStep> {
         let ReadQuery { tenant, job, start } = &self.query;
         let state = replica.state();
-        match state.page(tenant, job, *start) {
+        match state.results_page(tenant, job, *start) {
             Some(page) => Ok(page),
-            None if state.may_be_given_up(job) => Err(ReadStep::GivenUp),
+            None if state.may_have_given_up(job) => Err(ReadStep::GivenUp),
             None => Err(ReadStep::NotFound),
         }
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -127,7 +127,7 @@
 
     /// Whether what is here is of the group as it was begun last.
     pub fn reflects_recreation(&self, role: &Role) -> bool {
-        self.state.begun_in() >= role.recreated_in_epoch || self.has(ReplicaBug::KeepsWhatWasGivenUp)
+        self.state.recreated_in_epoch() >= role.recreated_in_epoch || self.has(ReplicaBug::KeepsWhatWasGivenUp)
     }
 
     /// This store is the head in that role: it stands where the chain stands. Where the group was given up and still is here as it was,
@@ -140,9 +140,9 @@
             self.caught_up_epoch = role.epoch;
             return None;
         }
-        let mut given_up = self.state.names();
+        let mut given_up = self.state.known_job_ids();
         given_up.extend(role.given_up_jobs.iter().cloned());
-        let begin = Command::Begin { view: role.recreated_in_epoch, given_up };
+        let begin = Command::Recreate { epoch: role.recreated_in_epoch, given_up_jobs: given_up };
         *self = Self { planted: self.planted, ..Self::default() };
         self.create_entry(group, role.epoch, begin);
         Some(self.snapshot())
@@ -248,10 +248,10 @@
             return InstallResult::Outdated;
         }
         let Ok(state) = decode::<GroupState>(&copy.state) else { return InstallResult::Corrupt };
-        if state.begun_in() < self.state.begun_in() {
+        if state.recreated_in_epoch() < self.state.recreated_in_epoch() {
             return InstallResult::Outdated;
         }
-        let was_given_up = state.begun_in() > self.state.begun_in();
+        let was_given_up = state.recreated_in_epoch() > self.state.recreated_in_epoch();
         let drops_shown = (log.lacks(self.last_read) && !was_given_up).then_some(self.last_read);
         if !extends && !self.has(ReplicaBug::MarksOutliveCopy) {
             (self.durable_sequence, self.committed_sequence, self.caught_up_epoch) = (0, 0, 0);
--- a/crates/simulation/src/stores/answering.rs
+++ b/crates/simulation/src/stores/answering.rs
@@ -80,14 +80,14 @@
                 let role = self.changing_role(group);
                 let entry = match self.replica(group).decide_end(role.as_ref(), &tenant, &job) {
                     EndDecision::NotWritable => return Some(Answer::NotTaken),
-                    EndDecision::NotFound if self.replica(group).state().may_be_given_up(&job) => {
+                    EndDecision::NotFound if self.replica(group).state().may_have_given_up(&job) => {
                         return Some(Answer::GivenUp);
                     }
                     EndDecision::NotFound => return Some(Answer::Unsure),
                     EndDecision::AlreadyEnded(entry) => entry,
                     EndDecision::End => {
                         self.stop_items(&job);
-                        self.change(group, Command::End { job }, step)
+                        self.change(group, Command::Cancel { job }, step)
                     }
                 };
                 self.wait_for_commit(group, entry, call, step);
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -55,7 +55,7 @@
 
 fn pool(servers: Vec<Server>) -> Pool {
     let pool = Pool::new("z", &Policy::default());
-    pool.update(&ServerList { version: 1, reader: 1, servers });
+    pool.update(&ServerList { version: 1, reader_incarnation: 1, servers });
     pool
 }
 
@@ -172,7 +172,7 @@
     runtime.block_on(async {
         tokio::time::advance(Duration::from_secs(10)).await;
         let known = Known::default();
-        let list = |version| ServerList { version, reader: version, servers: vec![] };
+        let list = |version| ServerList { version, reader_incarnation: version, servers: vec![] };
         known.take_servers(Some(list(1)), Duration::from_millis(100));
         known.take_servers(Some(list(2)), Duration::from_millis(900));
         assert_eq!(known.servers().version, 1);
@@ -188,8 +188,8 @@
     runtime.block_on(async {
         let known = Known::default();
         assert!(known.take_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
-        let watch = fennelgauge_wire::Watch { have: Default::default(), wait_ms: 400 };
-        let up_to_date = fennelgauge_wire::Watch { have: known.have(), wait_ms: 400 };
+        let watch = fennelgauge_wire::WatchRequest { known: Default::default(), wait_ms: 400 };
+        let up_to_date = fennelgauge_wire::WatchRequest { known: known.have(), wait_ms: 400 };
         let given =
             |age_ms| known.answer_in_touch(&watch).map(move |news| (news.configuration.is_some(), age_ms));
         assert_eq!(given(0).await, (false, 0), "nobody has confirmed its view yet");
--- a/crates/upstream/src/texts.rs
+++ b/crates/upstream/src/texts.rs
@@ -6,7 +6,7 @@
 use fennelgauge_encoding::{
     apply_delta, checksum, compress, compute_delta, decode, decompress, encode, DeltaOp,
 };
-use fennelgauge_wire::ConfigurationNews;
+use fennelgauge_wire::ConfigurationUpdate;
 
 /// Earlier texts that a source keeps, and how many bytes of them.
 const EARLIER: usize = 12;
@@ -38,7 +38,7 @@
     earlier: VecDeque<(u64, Vec<u8>)>,
     keeps_earlier: bool,
     /// The newest text as it is sent, by the generation that a watcher has.
-    sent: HashMap<Option<u64>, ConfigurationNews>,
+    sent: HashMap<Option<u64>, ConfigurationUpdate>,
 }
 
 impl Texts {
@@ -68,7 +68,7 @@
     }
 
     /// The newest text for a watcher that has that generation.
-    pub fn news(&mut self, have: u64) -> ConfigurationNews {
+    pub fn news(&mut self, have: u64) -> ConfigurationUpdate {
         let base = self.earlier.iter().find(|(generation, _)| *generation == have);
         let key = base.map(|(generation, _)| *generation);
         if let Some(sent) = self.sent.get(&key) {
@@ -78,20 +78,20 @@
             Some((_, text)) => compress(&encode(&compute_delta(text, &self.newest))),
             None => compress(&self.newest),
         };
-        let news = ConfigurationNews {
+        let news = ConfigurationUpdate {
             generation: self.generation,
-            base: key,
+            base_generation: key,
             checksum: checksum(&self.newest),
-            packed: body,
+            compressed: body,
         };
         self.sent.insert(key, news.clone());
         news
     }
 
     /// The text that a source has sent.
-    pub fn read(&self, news: &ConfigurationNews) -> Result<Vec<u8>, NewsError> {
-        let body = decompress(&news.packed, MOST_BYTES)?;
-        let text = match news.base {
+    pub fn read(&self, news: &ConfigurationUpdate) -> Result<Vec<u8>, NewsError> {
+        let body = decompress(&news.compressed, MOST_BYTES)?;
+        let text = match news.base_generation {
             None => body,
             Some(base) if base == self.generation => {
                 let parts: Vec<DeltaOp> = decode(&body)?;
