--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -17,7 +17,7 @@
     Coordinator, Envelope, Identity, Member, Message, Outcome, Progress, Replica, Timing, View, ViewRules,
 };
 use fennelgauge_settings::Settings;
-use fennelgauge_upstream::Known;
+use fennelgauge_upstream::TierState;
 use fennelgauge_versions::VersionsError;
 use fennelgauge_wire::{Caller, Request};
 use tokio::sync::{Mutex, Notify};
@@ -42,7 +42,7 @@
 pub struct Core {
     pub me: Member,
     pub settings: Rc<Settings>,
-    pub known: Rc<Known>,
+    pub known: Rc<TierState>,
     pub caller: Caller,
     /// The stores that have told of themselves.
     pub presence: Presence,
@@ -62,7 +62,7 @@
     /// Opens what this machine has on disk.
     pub fn open(
         settings: Rc<Settings>,
-        known: Rc<Known>,
+        known: Rc<TierState>,
         caller: Caller,
         peer: SocketAddr,
     ) -> Result<Rc<Self>, VersionsError> {
@@ -156,17 +156,17 @@
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
         if replica.newest_view().epoch > 0 {
-            self.known.take_view(replica.newest_view());
+            self.known.update_view(replica.newest_view());
         }
         if let Some(confirmed) = coordinator.confirmed_at() {
-            self.known.take_confirmed(self.started.elapsed().saturating_sub(confirmed));
+            self.known.update_view_confirmation(self.started.elapsed().saturating_sub(confirmed));
         }
         let Some(state) = replica.committed_value() else { return };
         if state.generation() > self.known.generation() {
-            self.known.take_configuration(state.generation(), state.configuration.json().to_vec());
+            self.known.update_configuration(state.generation(), state.configuration.json().to_vec());
         }
         if state.small.stores.epoch > self.known.stores().epoch {
-            self.known.take_stores(state.small.stores.clone());
+            self.known.update_stores(state.small.stores.clone());
         }
     }
 
--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -139,7 +139,7 @@
         assert!(matches!(old.core.answer(CoreRequest::Read).await, CoreReply::Configuration(None)));
         let watch = Watch { have: Default::default(), wait_ms: 0 };
         let began = Instant::now();
-        while old.core.known.answer_in_touch(&watch).await.configuration.is_some() {
+        while old.core.known.wait_for_confirmed_update(&watch).await.configuration.is_some() {
             assert!(began.elapsed() < PATIENCE, "it hands out an old configuration");
             sleep(TICK_EVERY).await;
         }
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -9,7 +9,7 @@
 
 use awc::http::StatusCode;
 use fennelgauge_model::{ServerState, Service};
-use fennelgauge_upstream::{client, wall_clock, FENCING_TOKEN, LEASE_HOLDER};
+use fennelgauge_upstream::{platform_client, wall_clock, FENCING_TOKEN, LEASE_HOLDER};
 use fennelgauge_wire::{ServiceTimeliness, UsageReport};
 use tokio::time::{sleep, Instant};
 
@@ -114,7 +114,7 @@
     if !core.settings.cloud.duties.iter().any(|duty| duty == "usage_report") {
         return;
     }
-    let client = client();
+    let client = platform_client();
     let mut reported: Option<u64> = None;
     loop {
         sleep(CHECK_EVERY).await;
@@ -200,12 +200,12 @@
     if !core.settings.cloud.duties.iter().any(|duty| duty == "autoscale") {
         return;
     }
-    let client = client();
+    let client = platform_client();
     let began = Instant::now();
     let mut scalers: HashMap<String, Scaler> = HashMap::new();
     loop {
         sleep(LOOK_EVERY).await;
-        let Some(table) = core.known.table() else { continue };
+        let Some(table) = core.known.routing_table() else { continue };
         if !core.is_head() || !core.is_confirmed() || core.in_view_for() < HOLDER_PATIENCE {
             scalers.clear();
             continue;
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_upstream::{client, read_list, Reader};
+use fennelgauge_upstream::{fetch_server_list, platform_client, ServerListVersioner};
 use fennelgauge_wire::{Have, Reply, Request, Watch};
 use tokio::time::{sleep, Instant};
 
@@ -19,14 +19,16 @@
 /// Keeps the list of servers, without end.
 pub async fn keep_list(core: Rc<Core>) {
     let Some(platform) = core.settings.cloud.addr else { return };
-    let client = client();
-    let mut reader = Reader::new(random_number());
+    let client = platform_client();
+    let mut reader = ServerListVersioner::new(random_number());
     loop {
         let began = Instant::now();
-        let stale = core.known.servers_age().is_none_or(|age| age > FOLLOWER_PATIENCE);
+        let stale = core.known.server_list_age().is_none_or(|age| age > FOLLOWER_PATIENCE);
         if core.is_head() || (stale && core.is_link()) {
-            match read_list(&client, platform).await {
-                Ok(servers) => core.known.take_servers(Some(reader.numbered(servers)), began.elapsed()),
+            match fetch_server_list(&client, platform).await {
+                Ok(servers) => {
+                    core.known.update_servers(Some(reader.assign_version(servers)), began.elapsed())
+                }
                 Err(reason) => log::warn!("{reason}"),
             }
         }
@@ -43,12 +45,13 @@
             sleep(FOLLOW_WAIT).await;
             continue;
         };
-        let have = Have { generation: u64::MAX, stores: u64::MAX, view: u64::MAX, ..core.known.have() };
+        let have =
+            Have { generation: u64::MAX, stores: u64::MAX, view: u64::MAX, ..core.known.known_versions() };
         let watch = Request::Watch(Watch { have, wait_ms: FOLLOW_WAIT.as_millis() as u64 });
         match core.caller.call(head.peer, watch, FOLLOW_WAIT * 2).await {
             Ok(Reply::News(news)) => {
                 let age = Duration::from_millis(news.servers_age_ms);
-                core.known.take_servers(news.servers, age);
+                core.known.update_servers(news.servers, age);
             }
             _ => sleep(FOLLOW_WAIT / 2).await,
         }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -8,7 +8,7 @@
 use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_sharing::StatsAggregator;
-use fennelgauge_upstream::{subscribe, Known, Subscription};
+use fennelgauge_upstream::{subscribe, Subscription, TierState};
 use fennelgauge_wire::{serve, Caller, Reply, Request};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -31,7 +31,7 @@
 }
 
 async fn run_core(settings: Rc<Settings>) -> anyhow::Result<()> {
-    let known = Rc::new(Known::of_source());
+    let known = Rc::new(TierState::for_source());
     let caller = Caller::leaving_from(settings.peer_source_ip());
     let told = settings.advertised_peer_address();
     let core = Core::open(settings.clone(), known.clone(), caller.clone(), told)?;
@@ -75,7 +75,7 @@
                 Reply::NotHere
             }
         },
-        Request::Watch(watch) => Reply::News(Box::new(core.known.answer_in_touch(&watch).await)),
+        Request::Watch(watch) => Reply::News(Box::new(core.known.wait_for_confirmed_update(&watch).await)),
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
             spawn_local(core.hear(*envelope));
--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -9,8 +9,8 @@
 use fennelgauge_batch::{Item, ItemOutcome, ItemResult};
 use fennelgauge_model::{stable_fraction, Route};
 use fennelgauge_upstream::{
-    is_hop_by_hop, Answer, Demand, EventOrder, EventReader, Outgoing, SendError, Ticket, LAST_EVENT_ID,
-    PREFIX_HASH, PRIORITY, TENANT,
+    is_hop_by_hop, EventOrder, EventParser, InFlightGuard, OutgoingRequest, RequestProfile, SendError,
+    UpstreamResponse, LAST_EVENT_ID, PREFIX_HASH, PRIORITY, TENANT,
 };
 use tokio::time::{sleep, timeout, Instant};
 
@@ -79,7 +79,7 @@
                 sleep(TRY_AGAIN).await;
                 continue;
             };
-            let outgoing = outgoing(&item, &tenant, &host, order.last());
+            let outgoing = outgoing(&item, &tenant, &host, order.last_id());
             let began = Instant::now();
             match self.attempt(service, &ticket, &outgoing, &mut text, &mut order).await {
                 Attempt::Finished(ItemOutcome::Succeeded) => {
@@ -125,7 +125,7 @@
         if state.finished[key.item as usize] {
             return None;
         }
-        let table = self.known.table()?;
+        let table = self.known.routing_table()?;
         let route = batch_route(&table, &state.job, &item);
         Some(OpenItem {
             item,
@@ -139,8 +139,8 @@
     async fn attempt(
         &self,
         service: &str,
-        ticket: &Ticket,
-        outgoing: &Outgoing,
+        ticket: &InFlightGuard,
+        outgoing: &OutgoingRequest,
         text: &mut Vec<String>,
         order: &mut EventOrder,
     ) -> Attempt {
@@ -150,14 +150,14 @@
         let answer = match sent {
             Ok(answer) => answer,
             Err(error) => {
-                self.pool.learn_failure(&ticket.server, &error);
-                if error == SendError::MayHaveRun {
+                self.pool.record_send_error(&ticket.server, &error);
+                if error == SendError::MayHaveExecuted {
                     log::info!("item {}: {error}", outgoing.id);
                 }
                 return Attempt::Again;
             }
         };
-        self.pool.learn(ticket, &answer);
+        self.pool.record_response(ticket, &answer);
         match answer.status() {
             status if status.is_success() => read_events(answer, text, order).await,
             StatusCode::UNPROCESSABLE_ENTITY => Attempt::Finished(ItemOutcome::DeadLettered),
@@ -168,17 +168,21 @@
 }
 
 /// Collects the events of an answer; a break leaves what was whole.
-async fn read_events(mut answer: Answer, text: &mut Vec<String>, order: &mut EventOrder) -> Attempt {
-    let mut reader = EventReader::default();
+async fn read_events(
+    mut answer: UpstreamResponse,
+    text: &mut Vec<String>,
+    order: &mut EventOrder,
+) -> Attempt {
+    let mut reader = EventParser::default();
     loop {
         let piece = match timeout(LONGEST_SILENCE, answer.next()).await {
             Ok(Some(Ok(piece))) => piece,
-            Ok(None) if !reader.has_rest() => return Attempt::Finished(ItemOutcome::Succeeded),
+            Ok(None) if !reader.has_partial_event() => return Attempt::Finished(ItemOutcome::Succeeded),
             _ => return Attempt::Again,
         };
         reader.push(&piece);
         for event in reader.by_ref() {
-            if !order.take(&event) {
+            if !order.accept(&event) {
                 return Attempt::Again;
             }
             text.push(event.data);
@@ -186,7 +190,7 @@
     }
 }
 
-fn outgoing(item: &Item, tenant: &str, host: &str, last_event: Option<u64>) -> Outgoing {
+fn outgoing(item: &Item, tenant: &str, host: &str, last_event: Option<u64>) -> OutgoingRequest {
     let own = [TENANT, PRIORITY, LAST_EVENT_ID];
     let mut headers: Vec<(HeaderName, HeaderValue)> = item
         .headers
@@ -203,7 +207,7 @@
     if let Some(last_event) = last_event {
         headers.push((LAST_EVENT_ID, HeaderValue::from(last_event)));
     }
-    Outgoing {
+    OutgoingRequest {
         method: Method::POST,
         path_and_query: item.path.clone(),
         host: host.to_owned(),
@@ -214,7 +218,7 @@
 }
 
 /// What the choice of a server goes by.
-fn demand(item: &Item) -> Demand {
+fn demand(item: &Item) -> RequestProfile {
     let prefix = item.headers.iter().find(|(name, _)| PREFIX_HASH == name.to_ascii_lowercase().as_str());
-    Demand::of_item(prefix.map(|(_, value)| value.as_str()))
+    RequestProfile::for_batch_item(prefix.map(|(_, value)| value.as_str()))
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -26,7 +26,8 @@
 use fennelgauge_replication::{Query, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
-    keep_reachable, share_uses, subscribe, wall_clock, Known, Pool, Sender, Subscription,
+    exchange_server_stats, probe_connections, subscribe, wall_clock, RequestSender, ServerPool, Subscription,
+    TierState,
 };
 use fennelgauge_wire::{serve, Caller, Entry, Reply, Request, StoreReply, StoreRequest};
 use tokio::net::TcpListener;
@@ -48,10 +49,10 @@
 pub struct Store {
     me: Member,
     settings: Rc<Settings>,
-    known: Rc<Known>,
+    known: Rc<TierState>,
     caller: Caller,
-    pool: Pool,
-    sender: Sender,
+    pool: ServerPool,
+    sender: RequestSender,
     journal: Journal,
     groups: Vec<RefCell<Replica>>,
     /// The newest view in which an entry on the disk was made when this store began: it takes part in no earlier one.
@@ -100,8 +101,14 @@
     spawn_local(store.clone().run_items());
     let life = getrandom::u64().unwrap_or(1);
     let sharing = Subscription::new(&settings);
-    spawn_local(share_uses(store.pool.clone(), store.known.clone(), store.caller.clone(), sharing, life));
-    spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
+    spawn_local(exchange_server_stats(
+        store.pool.clone(),
+        store.known.clone(),
+        store.caller.clone(),
+        sharing,
+        life,
+    ));
+    spawn_local(probe_connections(store.pool.clone(), store.sender.clone()));
     wait_for_shutdown_signal().await;
     Ok(())
 }
@@ -109,7 +116,7 @@
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
-        Request::Watch(watch) => Reply::News(Box::new(store.known.answer(&watch).await)),
+        Request::Watch(watch) => Reply::News(Box::new(store.known.wait_for_update(&watch).await)),
         _ => Reply::NotHere,
     }
 }
@@ -130,8 +137,8 @@
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
         Ok(Rc::new(Self {
             me,
-            pool: Pool::new(&settings.zone, &settings.policy),
-            sender: Sender::new(&settings.policy),
+            pool: ServerPool::new(&settings.zone, &settings.policy),
+            sender: RequestSender::new(&settings.policy),
             caller: Caller::leaving_from(settings.peer_source_ip()),
             settings,
             known: Rc::default(),
@@ -189,7 +196,7 @@
     /// core was not heard for so long that this store may have been given up.
     fn view(&self) -> Rc<StoreView> {
         let view = self.known.stores();
-        let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE);
+        let has_lease = self.known.view_confirmation_age().is_some_and(|age| age < STORE_LEASE);
         match has_lease && view.epoch >= self.earliest_view {
             true => view,
             false => Rc::default(),
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -9,7 +9,7 @@
 use fennelgauge_batch::{Command, Item, ItemResult, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
 use fennelgauge_model::{stable_fraction, Route, RouteKind, RoutingTable};
-use fennelgauge_upstream::{Answer, SendError};
+use fennelgauge_upstream::{SendError, UpstreamResponse};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -94,7 +94,7 @@
             self.stop_foreign_items(&view);
             if tidied.elapsed() >= LOOK_EVERY {
                 tidied = Instant::now();
-                self.sender.keep_only(&self.known.servers().servers);
+                self.sender.retain_servers(&self.known.servers().servers);
                 self.remove_old_jobs(&view);
             }
             let mut candidates = self.candidates(&view);
@@ -148,7 +148,12 @@
     }
 
     /// An item's answer began, or a server refused it for want of room: the window follows.
-    pub(super) fn learn_window(&self, service: &str, sent: &Result<Answer, SendError>, wait: Duration) {
+    pub(super) fn learn_window(
+        &self,
+        service: &str,
+        sent: &Result<UpstreamResponse, SendError>,
+        wait: Duration,
+    ) {
         let offer = self.offer(service);
         let bearable = self.bearable_wait(service);
         let mut windows = self.windows.borrow_mut();
@@ -165,10 +170,10 @@
     /// How long items may wait at a service's servers: interactive requests wait there, too, and have to answer in time. Where
     /// servers tell their load, items wait behind interactive requests, and the load is what is looked at.
     fn bearable_wait(&self, service: &str) -> Duration {
-        if self.pool.tells_load(service) {
+        if self.pool.has_reported_load(service) {
             return Duration::MAX;
         }
-        let Some(table) = self.known.table() else { return Duration::MAX };
+        let Some(table) = self.known.routing_table() else { return Duration::MAX };
         let interactive = table.configuration.routes.iter().filter(|route| {
             route.kind != RouteKind::Batch
                 && route.target_ms > 0
@@ -181,7 +186,7 @@
     }
 
     fn candidates(&self, view: &StoreView) -> Vec<Candidate> {
-        let Some(table) = self.known.table() else { return Vec::new() };
+        let Some(table) = self.known.routing_table() else { return Vec::new() };
         let running = self.running.borrow();
         let now_ms = wall_clock_ms();
         let run_times = self.run_times.borrow();
@@ -237,7 +242,7 @@
         if state.finished[key.item as usize] {
             return None;
         }
-        let route = batch_route(&*self.known.table()?, &state.job, item);
+        let route = batch_route(&*self.known.routing_table()?, &state.job, item);
         Some(route.map_or(String::new(), |route| route.pick_service(stable_fraction(&item.id)).to_owned()))
     }
 
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -80,8 +80,8 @@
 fn tell(stores: &[Running], to: &[usize], view: &StoreView) {
     for place in to {
         let known = &stores[*place].store.known;
-        known.take_confirmed(Duration::ZERO);
-        known.take_stores(view.clone());
+        known.update_view_confirmation(Duration::ZERO);
+        known.update_stores(view.clone());
     }
 }
 
@@ -209,8 +209,8 @@
         for (told, taken_part_in) in [(3, 0), (4, 4), (5, 5)] {
             let mut view = StoreView::default();
             view.epoch = told;
-            store.known.take_confirmed(Duration::ZERO);
-            store.known.take_stores(view);
+            store.known.update_view_confirmation(Duration::ZERO);
+            store.known.update_stores(view);
             assert_eq!(store.view().epoch, taken_part_in, "told of view {told}");
         }
     });
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -148,7 +148,7 @@
 
 /// The tenant of a call that names a batch job, by the host's batch routes and the key.
 fn caller_tenant(plane: &Plane, request: &HttpRequest) -> Result<String, Denial> {
-    let table = plane.known.table().ok_or(Denial::NoRoute)?;
+    let table = plane.known.routing_table().ok_or(Denial::NoRoute)?;
     table.routes_for_host(front::host(request)).ok_or(Denial::NoRoute)?;
     match table.tenant_from_authorization(front::authorization(request)) {
         Some(tenant) => Ok(tenant.name.clone()),
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -52,7 +52,7 @@
     if plane.takes_no_more() {
         return refused(&plane, StatusCode::SERVICE_UNAVAILABLE, STOPPING_RETRY_AFTER_S);
     }
-    let Some(table) = plane.known.table() else {
+    let Some(table) = plane.known.routing_table() else {
         return refused(&plane, StatusCode::SERVICE_UNAVAILABLE, NOT_READY_RETRY_AFTER_S);
     };
     let access = match table.authorize(host(&request), request.uri().path(), authorization(&request)) {
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -11,8 +11,8 @@
 use actix_web::{HttpRequest, HttpResponse};
 use fennelgauge_model::{stable_fraction, Access, RouteKind};
 use fennelgauge_upstream::{
-    is_hop_by_hop, Answer, Demand, Outgoing, SendError, Ticket, DEADLINE, PREFIX_HASH, PRIORITY, REQUEST_ID,
-    TARGET_INSTANCE, TENANT,
+    is_hop_by_hop, InFlightGuard, OutgoingRequest, RequestProfile, SendError, UpstreamResponse, DEADLINE,
+    PREFIX_HASH, PRIORITY, REQUEST_ID, TARGET_INSTANCE, TENANT,
 };
 use futures_util::stream::{self, Stream};
 use tokio::time::{sleep, Instant};
@@ -40,9 +40,9 @@
     pub plane: Rc<Plane>,
     pub access: Access,
     pub service: String,
-    pub outgoing: Outgoing,
+    pub outgoing: OutgoingRequest,
     pub until: Instant,
-    demand: Demand,
+    demand: RequestProfile,
     tried: Vec<String>,
     /// Servers that may have run it.
     pub runs: u32,
@@ -51,8 +51,8 @@
 
 /// An answer with the place at its server.
 pub(crate) struct Accepted {
-    pub answer: Answer,
-    pub ticket: Ticket,
+    pub answer: UpstreamResponse,
+    pub ticket: InFlightGuard,
 }
 
 /// Why there is no answer.
@@ -101,7 +101,7 @@
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let held = Duration::from_millis(access.route.timeout_ms);
         let service = access.route.pick_service(stable_fraction(&id)).to_owned();
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             method: request.method().clone(),
             path_and_query: request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned(),
             host: crate::front::host(request).to_owned(),
@@ -112,7 +112,7 @@
         Some(Self {
             watched: Watched::new(plane.clone(), &service, &access.route),
             service,
-            demand: Demand::of_prefix(header_text(request, &PREFIX_HASH)),
+            demand: RequestProfile::from_prefix_header(header_text(request, &PREFIX_HASH)),
             until: Instant::now() + deadline.min(held),
             tried: Vec::new(),
             runs: 0,
@@ -147,16 +147,16 @@
             let sent = self.plane.sender.send(&ticket.server, &outgoing, left, within).await;
             let error = match sent {
                 Ok(answer) => {
-                    self.plane.pool.learn(&ticket, &answer);
+                    self.plane.pool.record_response(&ticket, &answer);
                     self.runs += 1;
                     return Ok(Accepted { answer, ticket });
                 }
                 Err(error) => error,
             };
-            self.plane.pool.learn_failure(&ticket.server, &error);
+            self.plane.pool.record_send_error(&ticket.server, &error);
             match error {
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
-                SendError::MayHaveRun | SendError::TimeUp => self.runs += 1,
+                SendError::MayHaveExecuted | SendError::TimedOut => self.runs += 1,
             }
             let runs_left = self.access.route.is_retry_safe() && self.runs < self.most_runs();
             if self.runs > 0 && !runs_left {
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -9,7 +9,8 @@
 use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
-    client, keep_reachable, read_list, share_uses, subscribe, Known, Pool, Reader, Sender, Subscription,
+    exchange_server_stats, fetch_server_list, platform_client, probe_connections, subscribe, RequestSender,
+    ServerListVersioner, ServerPool, Subscription, TierState,
 };
 use fennelgauge_wire::{serve, Caller, Reply, Request};
 use tokio::net::TcpListener;
@@ -36,10 +37,10 @@
 /// All that the parts of a data plane share.
 pub struct Plane {
     pub settings: Settings,
-    pub known: Rc<Known>,
+    pub known: Rc<TierState>,
     pub caller: Caller,
-    pub pool: Pool,
-    pub sender: Sender,
+    pub pool: ServerPool,
+    pub sender: RequestSender,
     pub usage: RefCell<UsageCounts>,
     pub timeliness: RefCell<TimelinessCounts>,
     /// Requests being answered.
@@ -57,11 +58,11 @@
         let caller = Caller::leaving_from(settings.peer_source_ip());
         Self {
             usage: RefCell::new(UsageCounts::new(settings.bounds.usage_window_s)),
-            pool: Pool::new(&settings.zone, &settings.policy),
-            sender: Sender::new(&settings.policy),
+            pool: ServerPool::new(&settings.zone, &settings.policy),
+            sender: RequestSender::new(&settings.policy),
             settings,
             timeliness: RefCell::default(),
-            known: Rc::new(Known::default()),
+            known: Rc::new(TierState::default()),
             caller,
             open: Cell::new(0),
             last_ended: Cell::new(Instant::now()),
@@ -91,7 +92,7 @@
     pub fn is_ready(&self) -> bool {
         if !self.ready.get() {
             let servers = !self.known.servers().servers.is_empty();
-            self.ready.set(self.known.table().is_some() && servers);
+            self.ready.set(self.known.routing_table().is_some() && servers);
         }
         self.ready.get() && !self.is_stopping()
     }
@@ -107,8 +108,14 @@
     spawn_local(keep_pool(plane.clone()));
     let life = getrandom::u64().unwrap_or(1);
     let sharing = Subscription::new(&plane.settings);
-    spawn_local(share_uses(plane.pool.clone(), plane.known.clone(), plane.caller.clone(), sharing, life));
-    spawn_local(keep_reachable(plane.pool.clone(), plane.sender.clone()));
+    spawn_local(exchange_server_stats(
+        plane.pool.clone(),
+        plane.known.clone(),
+        plane.caller.clone(),
+        sharing,
+        life,
+    ));
+    spawn_local(probe_connections(plane.pool.clone(), plane.sender.clone()));
     spawn_local(report_usage(plane.clone()));
     if let Some(address) = plane.settings.listen.ready {
         let app = App::new().app_data(Data::new(plane.clone())).configure(ready::routes);
@@ -140,27 +147,27 @@
     }
 }
 
-async fn answer(known: Rc<Known>, request: Request) -> Reply {
+async fn answer(known: Rc<TierState>, request: Request) -> Reply {
     match request {
-        Request::Watch(watch) => Reply::News(Box::new(known.answer(&watch).await)),
+        Request::Watch(watch) => Reply::News(Box::new(known.wait_for_update(&watch).await)),
         _ => Reply::NotHere,
     }
 }
 
 /// Keeps the pool level with the list; reads the list itself while the control plane is silent.
 async fn keep_pool(plane: Rc<Plane>) {
-    let client = client();
-    let mut reader = Reader::new(getrandom::u64().unwrap_or(1));
+    let client = platform_client();
+    let mut reader = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
     loop {
         plane.pool.update(&plane.known.servers());
-        plane.sender.keep_only(&plane.known.servers().servers);
-        let silent = plane.known.servers_age().is_none_or(|age| age > OWN_LIST_AFTER);
+        plane.sender.retain_servers(&plane.known.servers().servers);
+        let silent = plane.known.server_list_age().is_none_or(|age| age > OWN_LIST_AFTER);
         let long_up = plane.started.elapsed() > OWN_LIST_AFTER * 2;
         if let (true, true, Some(platform)) = (silent, long_up, plane.settings.cloud.addr) {
             let began = Instant::now();
-            match read_list(&client, platform).await {
+            match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.take_servers(Some(reader.numbered(servers)), began.elapsed());
+                    plane.known.update_servers(Some(reader.assign_version(servers)), began.elapsed());
                     plane.pool.update(&plane.known.servers());
                 }
                 Err(reason) => log::warn!("{reason}"),
--- a/crates/data-plane/src/resumed.rs
+++ b/crates/data-plane/src/resumed.rs
@@ -4,7 +4,7 @@
 
 use actix_web::error::ErrorBadGateway;
 use actix_web::web::Bytes;
-use fennelgauge_upstream::{BrokenOff, EventOrder, EventReader};
+use fennelgauge_upstream::{EventOrder, EventParser, TruncatedBody};
 use futures_util::stream::{self, Stream};
 use tokio::time::{timeout, Instant};
 
@@ -14,7 +14,7 @@
 struct Resumed {
     attempts: Attempts,
     accepted: Option<Accepted>,
-    reader: EventReader,
+    reader: EventParser,
     order: EventOrder,
     /// An event came that is not the next one: nothing more of this run counts.
     spoilt: bool,
@@ -36,7 +36,7 @@
     let resumed = Resumed {
         attempts,
         accepted: Some(accepted),
-        reader: EventReader::default(),
+        reader: EventParser::default(),
         order: EventOrder::default(),
         spoilt: false,
         _open: open,
@@ -60,7 +60,7 @@
             let patience = self.patience();
             let Some(accepted) = self.accepted.as_mut() else { return Piece::Broken };
             let next = timeout(patience, accepted.answer.next()).await;
-            match next.unwrap_or(Some(Err(BrokenOff))) {
+            match next.unwrap_or(Some(Err(TruncatedBody))) {
                 Some(Ok(bytes)) => {
                     self.reader.push(&bytes);
                     let events = self.whole_events();
@@ -69,7 +69,7 @@
                         return Piece::Events(events);
                     }
                 }
-                None if !self.reader.has_rest() => return Piece::End,
+                None if !self.reader.has_partial_event() => return Piece::End,
                 Some(Err(_)) | None => {
                     if !self.continue_elsewhere().await {
                         return Piece::Broken;
@@ -90,7 +90,7 @@
     fn whole_events(&mut self) -> Bytes {
         let mut bytes = Vec::new();
         for event in self.reader.by_ref() {
-            if !self.order.take(&event) {
+            if !self.order.accept(&event) {
                 self.spoilt = true;
                 break;
             }
@@ -101,13 +101,13 @@
 
     async fn continue_elsewhere(&mut self) -> bool {
         if let Some(broken) = self.accepted.take() {
-            self.attempts.plane.pool.failed(&broken.ticket.server.id);
+            self.attempts.plane.pool.record_failure(&broken.ticket.server.id);
         }
-        self.reader = EventReader::default();
+        self.reader = EventParser::default();
         if self.attempts.runs >= self.attempts.most_runs() {
             return false;
         }
-        match self.attempts.next(self.order.last()).await {
+        match self.attempts.next(self.order.last_id()).await {
             Ok(accepted) if accepted.answer.status().is_success() => {
                 self.accepted = Some(accepted);
                 true
--- a/crates/standins/examples/hollow.rs
+++ b/crates/standins/examples/hollow.rs
@@ -8,7 +8,7 @@
 
 use fennelgauge_control_plane::process;
 use fennelgauge_standins::{configuration, start_platform, Platform, Ports, Tier};
-use fennelgauge_upstream::{subscribe, Known, Subscription};
+use fennelgauge_upstream::{subscribe, Subscription, TierState};
 use fennelgauge_wire::Caller;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
@@ -50,7 +50,7 @@
     put(&client, &tier, 0, 1).await;
     let memory_before = status_kb("VmRSS");
     let seeds = Tier::read(&tier.core_settings(0))?.seed_peer_addresses();
-    let followers: Vec<Rc<Known>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
+    let followers: Vec<Rc<TierState>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
     wait_for(&followers, 1).await;
     let mut times: Vec<f64> = Vec::new();
     for generation in 2..CHANGES + 2 {
@@ -70,8 +70,8 @@
     Ok(())
 }
 
-fn follow(number: usize, seeds: Vec<std::net::SocketAddr>) -> Rc<Known> {
-    let known = Rc::new(Known::default());
+fn follow(number: usize, seeds: Vec<std::net::SocketAddr>) -> Rc<TierState> {
+    let known = Rc::new(TierState::default());
     let subscription = Subscription {
         node: format!("hollow-{number}"),
         zone: format!("zone-{}", number % 3),
@@ -81,7 +81,7 @@
     known
 }
 
-async fn wait_for(followers: &[Rc<Known>], generation: u64) {
+async fn wait_for(followers: &[Rc<TierState>], generation: u64) {
     while followers.iter().any(|known| known.generation() < generation) {
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/upstream/src/texts.rs
+++ b/crates/upstream/src/configuration_texts.rs
@@ -27,9 +27,9 @@
     Garbled,
 }
 
-/// Texts by generation.
+/// ConfigurationTexts by generation.
 #[derive(Default)]
-pub struct Texts {
+pub struct ConfigurationTexts {
     generation: u64,
     newest: Vec<u8>,
     /// Oldest first; kept by sources only.
@@ -39,7 +39,7 @@
     sent: HashMap<Option<u64>, ConfigurationNews>,
 }
 
-impl Texts {
+impl ConfigurationTexts {
     /// Of a source.
     pub fn with_earlier() -> Self {
         Self { keeps_earlier: true, ..Self::default() }
--- a/crates/upstream/src/texts/tests.rs
+++ b/crates/upstream/src/configuration_texts/tests.rs
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_watcher_with_an_earlier_text_gets_the_changes_only() {
-    let mut source = Texts::with_earlier();
+    let mut source = ConfigurationTexts::with_earlier();
     source.put(3, long(3));
-    let mut watcher = Texts::default();
+    let mut watcher = ConfigurationTexts::default();
     let whole = source.news(0);
     assert_eq!(whole.base, None);
     assert!(whole.packed.len() < 60_000, "{} of {} bytes", whole.packed.len(), long(3).len());
@@ -41,11 +41,11 @@
 
 #[test]
 fn news_that_do_not_fit_are_refused() {
-    let mut source = Texts::with_earlier();
+    let mut source = ConfigurationTexts::with_earlier();
     source.put(3, long(3));
     source.put(4, long(4));
     let changes = source.news(3);
-    let mut other = Texts::default();
+    let mut other = ConfigurationTexts::default();
     assert!(matches!(other.read(&changes), Err(NewsError::OtherBase { base: 3, own: 0 })));
     // Of that generation, but another text: shorter at its beginning.
     other.put(3, long(3).split_off(40));
@@ -58,7 +58,7 @@
 
 #[test]
 fn who_is_no_source_keeps_one_text() {
-    let mut texts = Texts::default();
+    let mut texts = ConfigurationTexts::default();
     texts.put(1, long(1));
     texts.put(2, long(2));
     assert_eq!(texts.news(1).base, None);
--- a/crates/upstream/src/connect_times.rs
+++ b/crates/upstream/src/connect_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::usual_time::UsualTime;
+use crate::duration_estimator::DurationEstimator;
 
 /// Before anything is known, and at most.
 const LONGEST: Duration = Duration::from_millis(300);
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConnectTimes {
     adaptive: bool,
-    usual: UsualTime,
+    usual: DurationEstimator,
     given_up: u32,
 }
 
@@ -28,7 +28,7 @@
     /// An attempt came to an end, opened or refused, after that time.
     pub fn took(&mut self, time: Duration) {
         self.given_up = 0;
-        self.usual.took(time);
+        self.usual.record(time);
     }
 
     /// An attempt was given up.
@@ -38,7 +38,7 @@
 
     /// How long the next attempt is waited for.
     pub fn patience(&self) -> Duration {
-        let Some(usual) = self.usual.longest_usual().filter(|_| self.adaptive) else { return LONGEST };
+        let Some(usual) = self.usual.upper_bound().filter(|_| self.adaptive) else { return LONGEST };
         (usual.max(SHORTEST) * 2_u32.pow(self.given_up)).min(LONGEST)
     }
 }
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -18,7 +18,7 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::connect_times::ConnectTimes;
+use crate::connect_timeout::ConnectTimes;
 use crate::KEEP_ALIVE;
 
 /// An idle connection is used again for so long where the server says nothing.
@@ -47,7 +47,7 @@
 }
 
 /// An answer's head, with its body still to come. Dropped before its end, it takes the connection with it.
-pub struct Answer {
+pub struct UpstreamResponse {
     head: ResponseHead,
     body: Body,
 }
@@ -73,7 +73,7 @@
 /// The body ended before its framing said so.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the server broke its answer off")]
-pub struct BrokenOff;
+pub struct TruncatedBody;
 
 impl Connections {
     /// `adaptive`: attempts are given up by what they usually take.
@@ -87,7 +87,7 @@
         peer: SocketAddr,
         head: RequestHead,
         body: &Bytes,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<UpstreamResponse, ExchangeError> {
         let mut codec = ClientCodec::default();
         let mut request = BytesMut::new();
         let size = BodySize::Sized(body.len() as u64);
@@ -129,7 +129,7 @@
         if !has_body && !is_unframed {
             body.finish();
         }
-        Ok(Answer { head, body })
+        Ok(UpstreamResponse { head, body })
     }
 
     async fn connection(&self, peer: SocketAddr) -> Option<TcpStream> {
@@ -175,7 +175,7 @@
     }
 
     /// Closes the idle connections to servers that are not among `peers`, and those whose time is over.
-    pub(crate) fn keep_only(&self, peers: impl Fn(&SocketAddr) -> bool) {
+    pub(crate) fn retain_servers(&self, peers: impl Fn(&SocketAddr) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|peer, connections| {
             connections.retain(|idle| idle.until > now);
@@ -205,7 +205,7 @@
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-impl Answer {
+impl UpstreamResponse {
     pub fn status(&self) -> StatusCode {
         self.head.status
     }
@@ -215,7 +215,7 @@
     }
 
     /// The next bytes of the body; none once it is complete.
-    pub async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         self.body.next().await
     }
 
@@ -226,7 +226,7 @@
 }
 
 impl Body {
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         loop {
             self.stream.as_ref()?;
             match &mut self.framing {
@@ -256,9 +256,9 @@
         }
     }
 
-    fn broken(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    fn broken(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         self.stream = None;
-        Some(Err(BrokenOff))
+        Some(Err(TruncatedBody))
     }
 
     /// The body is complete: the connection can be used again if nothing is left on it.
--- a/crates/upstream/src/usual_time.rs
+++ b/crates/upstream/src/duration_estimator.rs
@@ -10,14 +10,14 @@
 
 /// Running means, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualTime {
+pub struct DurationEstimator {
     mean_s: Option<f64>,
     distance_s: f64,
 }
 
-impl UsualTime {
+impl DurationEstimator {
     /// It took so long once more.
-    pub fn took(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         let time_s = time.as_secs_f64();
         match self.mean_s {
             None => {
@@ -32,12 +32,12 @@
     }
 
     /// What is longer than this is unusual; none before anything is known.
-    pub fn longest_usual(&self) -> Option<Duration> {
-        self.within(DISTANCES)
+    pub fn upper_bound(&self) -> Option<Duration> {
+        self.mean_plus_deviations(DISTANCES)
     }
 
     /// The mean time and so many mean distances from it.
-    pub fn within(&self, distances: f64) -> Option<Duration> {
+    pub fn mean_plus_deviations(&self, distances: f64) -> Option<Duration> {
         self.mean_s.map(|mean_s| Duration::from_secs_f64(mean_s + distances * self.distance_s))
     }
 }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -12,24 +12,24 @@
 
 /// Collects bytes and gives whole events.
 #[derive(Debug, Default)]
-pub struct EventReader {
+pub struct EventParser {
     pending: Vec<u8>,
     /// Up to here there is no end of an event.
     searched: usize,
 }
 
-impl EventReader {
+impl EventParser {
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
     /// Whether a part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-impl Iterator for EventReader {
+impl Iterator for EventParser {
     type Item = Event;
 
     fn next(&mut self) -> Option<Event> {
@@ -53,12 +53,12 @@
 
 impl EventOrder {
     /// The newest event taken; a stream is continued after it.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Takes an event if it is the next one. After one that is not, nothing of its stream counts any more.
-    pub fn take(&mut self, event: &Event) -> bool {
+    pub fn accept(&mut self, event: &Event) -> bool {
         let Some(id) = event.id else { return false };
         let next = self.last.is_none_or(|last| id == last + 1);
         if next {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,38 +1,38 @@
 //! What a process knows of the tier and how it uses the servers: news from the control plane, the pool of servers and the
 //! choice among them, sending a request, reading events.
 
-mod choice;
 mod clock;
-mod connect_times;
+mod configuration_texts;
+mod connect_timeout;
 mod connection;
-mod demand;
+mod connection_probe;
+mod duration_estimator;
 mod events;
 mod headers;
-mod known;
-mod mix;
 mod platform;
 mod pool;
-mod reconnect;
-mod seen;
+mod prompt_mix;
+mod request_profile;
+mod selection;
 mod send;
-mod share;
+mod stats_exchange;
 mod subscriber;
-mod texts;
-mod usual_time;
+mod tier_state;
+mod tracked_server;
 
 pub use clock::{wall_clock, WallClock};
-pub use connection::{Answer, BrokenOff};
-pub use demand::{Demand, Kind};
-pub use events::{Event, EventOrder, EventReader};
+pub use connection::{TruncatedBody, UpstreamResponse};
+pub use connection_probe::probe_connections;
+pub use duration_estimator::DurationEstimator;
+pub use events::{Event, EventOrder, EventParser};
 pub use headers::*;
-pub use known::Known;
-pub use platform::{read_list, ListError, Reader};
-pub use pool::{Pool, Ticket};
-pub use reconnect::keep_reachable;
-pub use send::{client, Outgoing, SendError, Sender};
-pub use share::share_uses;
+pub use platform::{fetch_server_list, ServerListError, ServerListVersioner};
+pub use pool::{InFlightGuard, ServerPool};
+pub use request_profile::{RequestKind, RequestProfile};
+pub use send::{platform_client, OutgoingRequest, RequestSender, SendError};
+pub use stats_exchange::exchange_server_stats;
 pub use subscriber::{subscribe, Subscription};
-pub use usual_time::UsualTime;
+pub use tier_state::TierState;
 
 #[cfg(test)]
 mod tests;
--- a/crates/upstream/src/platform.rs
+++ b/crates/upstream/src/platform.rs
@@ -12,7 +12,7 @@
 
 /// Why there is no list; the next reading may have one.
 #[derive(Debug, thiserror::Error)]
-pub enum ListError {
+pub enum ServerListError {
     #[error("the platform's list cannot be had ({0}): it is asked again")]
     Unavailable(String),
     #[error("the platform's list cannot be read ({0}): it is asked again")]
@@ -26,7 +26,10 @@
 }
 
 /// All pages of the list. Entries that are no servers are left out and logged.
-pub async fn read_list(client: &awc::Client, platform: SocketAddr) -> Result<Vec<Server>, ListError> {
+pub async fn fetch_server_list(
+    client: &awc::Client,
+    platform: SocketAddr,
+) -> Result<Vec<Server>, ServerListError> {
     let mut servers = Vec::new();
     let mut token: Option<String> = None;
     for _ in 0..MAX_PAGES {
@@ -49,10 +52,10 @@
     client: &awc::Client,
     platform: SocketAddr,
     token: Option<&str>,
-) -> Result<ListPage, ListError> {
+) -> Result<ListPage, ServerListError> {
     let query = token.map(|token| format!("?page_token={token}")).unwrap_or_default();
     let url = format!("http://{platform}/instances{query}");
-    let unavailable = |reason: String| ListError::Unavailable(reason);
+    let unavailable = |reason: String| ServerListError::Unavailable(reason);
     let mut answer = client
         .get(url)
         .timeout(CALL_TIMEOUT)
@@ -65,25 +68,25 @@
     let body = tokio::time::timeout(CALL_TIMEOUT, answer.body().limit(MAX_PAGE_BYTES));
     let body = body.await.map_err(|_| unavailable("too slow".to_owned()))?;
     let body = body.map_err(|reason| unavailable(reason.to_string()))?;
-    serde_json::from_slice(&body).map_err(|reason| ListError::Unreadable(reason.to_string()))
+    serde_json::from_slice(&body).map_err(|reason| ServerListError::Unreadable(reason.to_string()))
 }
 
 /// Numbers the lists that one process reads.
 #[derive(Debug)]
-pub struct Reader {
+pub struct ServerListVersioner {
     life: u64,
     version: u64,
     last: Vec<Server>,
 }
 
-impl Reader {
+impl ServerListVersioner {
     /// `life` is drawn at the process's start.
     pub fn new(life: u64) -> Self {
         Self { life, version: 0, last: Vec::new() }
     }
 
     /// The list with its version, which rises when the list differs.
-    pub fn numbered(&mut self, mut servers: Vec<Server>) -> ServerList {
+    pub fn assign_version(&mut self, mut servers: Vec<Server>) -> ServerList {
         servers.sort_by(|left, right| left.id.cmp(&right.id));
         if servers != self.last || self.version == 0 {
             self.version += 1;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -8,35 +8,35 @@
 use fennelgauge_settings::Policy;
 use tokio::time::Instant;
 
-use crate::choice::Wishes;
-use crate::demand::Demand;
-use crate::mix::Mix;
-use crate::seen::Seen;
-use crate::usual_time::UsualTime;
+use crate::duration_estimator::DurationEstimator;
+use crate::prompt_mix::PromptMix;
+use crate::request_profile::RequestProfile;
+use crate::selection::SelectionCriteria;
+use crate::tracked_server::TrackedServer;
 
 /// All servers, by id.
 #[derive(Clone)]
-pub struct Pool {
-    pub(crate) servers: Rc<RefCell<HashMap<String, Seen>>>,
+pub struct ServerPool {
+    pub(crate) servers: Rc<RefCell<HashMap<String, TrackedServer>>>,
     reader: Rc<RefCell<(u64, u64)>>,
     zone: Rc<str>,
     pub(crate) policy: Rc<Policy>,
     next_ticket: Rc<Cell<u64>>,
     /// How long answers take to begin.
-    pub(crate) heads: Rc<RefCell<UsualTime>>,
-    mixes: Rc<RefCell<HashMap<String, Mix>>>,
+    pub(crate) heads: Rc<RefCell<DurationEstimator>>,
+    mixes: Rc<RefCell<HashMap<String, PromptMix>>>,
 }
 
 /// A request's place at a server; given back when dropped.
-pub struct Ticket {
-    pool: Pool,
+pub struct InFlightGuard {
+    pool: ServerPool,
     pub server: Server,
     number: u64,
     began: Instant,
     unread_tokens: Cell<u64>,
 }
 
-impl Ticket {
+impl InFlightGuard {
     /// The server answered: it has read the prompt.
     fn prompt_read(&self) {
         let tokens = self.unread_tokens.replace(0);
@@ -44,14 +44,14 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.prompt_read();
         self.pool.with(&self.server.id, |seen| seen.in_flight = seen.in_flight.saturating_sub(1));
     }
 }
 
-impl Pool {
+impl ServerPool {
     /// For a process in `zone`, whose servers are nearer and cost nothing on the way.
     pub fn new(zone: &str, policy: &Policy) -> Self {
         Self {
@@ -76,7 +76,7 @@
             seen.listed = false;
         }
         for server in &list.servers {
-            let seen = servers.entry(server.id.clone()).or_insert_with(|| Seen::new(server.clone()));
+            let seen = servers.entry(server.id.clone()).or_insert_with(|| TrackedServer::new(server.clone()));
             seen.server = server.clone();
             seen.listed = true;
         }
@@ -87,12 +87,12 @@
     /// Whether a server is still to be given requests.
     pub fn is_ready(&self, id: &str) -> bool {
         let servers = self.servers.borrow();
-        servers.get(id).is_some_and(Seen::is_ready)
+        servers.get(id).is_some_and(TrackedServer::is_ready)
     }
 
     /// Chooses a server of a service, none of `tried`. Requests with the same affinity go to the same server while that
     /// does not load it much more than others.
-    pub fn choose(&self, service: &str, tried: &[String], demand: &Demand) -> Option<Ticket> {
+    pub fn choose(&self, service: &str, tried: &[String], demand: &RequestProfile) -> Option<InFlightGuard> {
         let now = Instant::now();
         let long_part = self.long_part(service, demand, now);
         let server = {
@@ -102,25 +102,25 @@
                     .values()
                     .filter(|seen| seen.server.backend == service && !tried.contains(&seen.server.id))
             };
-            let mut candidates: Vec<&Seen> =
+            let mut candidates: Vec<&TrackedServer> =
                 of_service().filter(|seen| seen.usable(&self.policy, now)).collect();
             if candidates.is_empty() {
                 candidates = of_service().filter(|seen| seen.is_ready()).collect();
             }
-            let wishes = Wishes { demand, long_part, zone: &self.zone, policy: &self.policy, now };
+            let wishes = SelectionCriteria { demand, long_part, zone: &self.zone, policy: &self.policy, now };
             wishes.best(&candidates)?.server.clone()
         };
         let tokens = demand.prompt_tokens;
         let number = self.next_ticket.replace(self.next_ticket.get() + 1);
         self.with(&server.id, |seen| seen.sent(number, tokens));
         let began = Instant::now();
-        Some(Ticket { pool: self.clone(), server, number, began, unread_tokens: Cell::new(tokens) })
+        Some(InFlightGuard { pool: self.clone(), server, number, began, unread_tokens: Cell::new(tokens) })
     }
 
-    fn long_part(&self, service: &str, demand: &Demand, now: Instant) -> Option<f64> {
+    fn long_part(&self, service: &str, demand: &RequestProfile, now: Instant) -> Option<f64> {
         let mut mixes = self.mixes.borrow_mut();
         if !mixes.contains_key(service) {
-            mixes.insert(service.to_owned(), Mix::new());
+            mixes.insert(service.to_owned(), PromptMix::new());
         }
         let mix = mixes.get_mut(service)?;
         mix.count(demand, now);
@@ -140,9 +140,9 @@
     }
 
     /// A server answered, but with an error of its own.
-    pub fn errored(&self, ticket: &Ticket) {
+    pub fn record_error_response(&self, ticket: &InFlightGuard) {
         ticket.prompt_read();
-        self.failed(&ticket.server.id);
+        self.record_failure(&ticket.server.id);
     }
 
     pub(crate) fn learns_errors(&self) -> bool {
@@ -150,47 +150,47 @@
     }
 
     /// A server answered; `load` is the value of its load header, if it sent one.
-    pub fn answered(&self, ticket: &Ticket, load: Option<&str>) {
+    pub fn record_success(&self, ticket: &InFlightGuard, load: Option<&str>) {
         ticket.prompt_read();
-        self.heads.borrow_mut().took(ticket.began.elapsed());
+        self.heads.borrow_mut().record(ticket.began.elapsed());
         let told = load.filter(|_| self.policy.told_load).and_then(parse_load);
         self.with(&ticket.server.id, |seen| seen.answered(told));
     }
 
     /// A server broke off, was silent or is another one by now.
-    pub fn failed(&self, id: &str) {
+    pub fn record_failure(&self, id: &str) {
         self.with(id, |seen| seen.failed(&self.policy));
     }
 
     /// No connection to a server could be opened.
-    pub fn not_reached(&self, id: &str) {
+    pub fn record_connect_failure(&self, id: &str) {
         self.with(id, |seen| seen.not_reached(&self.policy));
     }
 
     /// A connection to a server stands.
-    pub fn reached(&self, id: &str) {
-        self.with(id, Seen::reached);
+    pub fn record_connect_success(&self, id: &str) {
+        self.with(id, TrackedServer::reached);
     }
 
     /// A server refused for want of room.
-    pub fn full(&self, id: &str) {
-        self.with(id, Seen::full);
+    pub fn record_overload(&self, id: &str) {
+        self.with(id, TrackedServer::full);
     }
 
     /// Servers to which a connection should be tried now.
-    pub fn to_connect(&self) -> Vec<Server> {
+    pub fn servers_to_probe(&self) -> Vec<Server> {
         let now = Instant::now();
         let servers = self.servers.borrow();
         servers.values().filter(|seen| seen.wants_connection(now)).map(|seen| seen.server.clone()).collect()
     }
 
     /// Whether a service's servers tell their load.
-    pub fn tells_load(&self, service: &str) -> bool {
+    pub fn has_reported_load(&self, service: &str) -> bool {
         let now = Instant::now();
         self.servers.borrow().values().any(|seen| seen.server.backend == service && seen.tells_load(now))
     }
 
-    pub(crate) fn with(&self, id: &str, change: impl FnOnce(&mut Seen)) {
+    pub(crate) fn with(&self, id: &str, change: impl FnOnce(&mut TrackedServer)) {
         if let Some(seen) = self.servers.borrow_mut().get_mut(id) {
             change(seen);
         }
@@ -203,7 +203,7 @@
     Some((parts.next()??, parts.next()??))
 }
 
-fn rank(servers: &mut HashMap<String, Seen>) {
+fn rank(servers: &mut HashMap<String, TrackedServer>) {
     let mut pools: HashMap<(String, String), Vec<(u64, String)>> = HashMap::new();
     for seen in servers.values().filter(|seen| seen.is_ready()) {
         let pool = (seen.server.backend.clone(), seen.server.zone.clone());
--- a/crates/upstream/src/mix.rs
+++ b/crates/upstream/src/prompt_mix.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::demand::{Demand, Kind};
+use crate::request_profile::{RequestKind, RequestProfile};
 
 /// Tokens seen count for about so long.
 const SEEN_FOR: Duration = Duration::from_secs(15);
@@ -25,20 +25,20 @@
 
 /// Requests of late, by kind.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Mix {
-    long: Seen,
-    short: Seen,
+pub(crate) struct PromptMix {
+    long: PromptStats,
+    short: PromptStats,
     at: Instant,
 }
 
 /// Fading sums of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct PromptStats {
     requests: f64,
     tokens: f64,
 }
 
-impl Seen {
+impl PromptStats {
     fn fade(&mut self, kept: f64) {
         self.requests *= kept;
         self.tokens *= kept;
@@ -54,22 +54,22 @@
     }
 }
 
-impl Mix {
+impl PromptMix {
     pub(crate) fn new() -> Self {
-        Self { long: Seen::default(), short: Seen::default(), at: Instant::now() }
+        Self { long: PromptStats::default(), short: PromptStats::default(), at: Instant::now() }
     }
 
     /// A request was seen.
-    pub(crate) fn count(&mut self, demand: &Demand, now: Instant) {
+    pub(crate) fn count(&mut self, demand: &RequestProfile, now: Instant) {
         let kept = (-(now - self.at).as_secs_f64() / SEEN_FOR.as_secs_f64()).exp();
         self.at = now;
         self.long.fade(kept);
         self.short.fade(kept);
         let tokens = demand.prompt_tokens as f64;
         match demand.kind {
-            Kind::Long => self.long.add(tokens),
-            Kind::Short => self.short.add(tokens),
-            Kind::Item => {}
+            RequestKind::Long => self.long.add(tokens),
+            RequestKind::Short => self.short.add(tokens),
+            RequestKind::BatchItem => {}
         }
     }
 
--- a/crates/upstream/src/demand.rs
+++ b/crates/upstream/src/request_profile.rs
@@ -10,42 +10,42 @@
 
 /// Which servers of a service a request is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// An interactive request with a short prompt.
     #[default]
     Short,
     /// A request whose long prompt holds up the streams of its server.
     Long,
     /// An item of a batch job: short, but nobody waits for it.
-    Item,
+    BatchItem,
 }
 
 /// What the choice of a server goes by.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct RequestProfile {
     /// Alike for requests that share a part of their prompt that is worth keeping.
     pub affinity: Option<u64>,
     /// Tokens of the prompt that a server without any of its parts reads.
     pub prompt_tokens: u64,
-    pub kind: Kind,
+    pub kind: RequestKind,
 }
 
-impl Demand {
+impl RequestProfile {
     /// From the parts of a prompt, `ID:TOKENS` in order and separated by commas; the last is the request's own.
-    pub fn of_prefix(parts: Option<&str>) -> Self {
+    pub fn from_prefix_header(parts: Option<&str>) -> Self {
         let Some(parts) = parts else { return Self::default() };
         let parts: Vec<(&str, u64)> = parts.split(',').filter_map(part).collect();
         let prompt_tokens = parts.iter().map(|(_, tokens)| tokens).sum();
         let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
         let shared_tokens: u64 = shared.iter().map(|(_, tokens)| tokens).sum();
         let affinity = shared.last().filter(|_| shared_tokens >= WORTH_KEEPING_TOKENS);
-        let kind = if prompt_tokens >= LONG_PROMPT_TOKENS { Kind::Long } else { Kind::Short };
+        let kind = if prompt_tokens >= LONG_PROMPT_TOKENS { RequestKind::Long } else { RequestKind::Short };
         Self { affinity: affinity.map(|(id, _)| stable_hash(*id)), prompt_tokens, kind }
     }
 
     /// The same, for an item of a batch job.
-    pub fn of_item(parts: Option<&str>) -> Self {
-        Self { kind: Kind::Item, ..Self::of_prefix(parts) }
+    pub fn for_batch_item(parts: Option<&str>) -> Self {
+        Self { kind: RequestKind::BatchItem, ..Self::from_prefix_header(parts) }
     }
 }
 
--- a/crates/upstream/src/choice.rs
+++ b/crates/upstream/src/selection.rs
@@ -4,8 +4,8 @@
 use fennelgauge_settings::Policy;
 use tokio::time::Instant;
 
-use crate::demand::{Demand, Kind};
-use crate::seen::Seen;
+use crate::request_profile::{RequestKind, RequestProfile};
+use crate::tracked_server::TrackedServer;
 
 /// A server keeps the prompts it has cached while its load is at most so much above the least loaded one's, in slots.
 const KEEP_WITHIN: f64 = 0.35;
@@ -20,8 +20,8 @@
 const CHOICES: usize = 2;
 
 /// What the choice goes by, beside the servers.
-pub(crate) struct Wishes<'a> {
-    pub demand: &'a Demand,
+pub(crate) struct SelectionCriteria<'a> {
+    pub demand: &'a RequestProfile,
     /// The part of the servers that is for long prompts; none where nothing is kept apart.
     pub long_part: Option<f64>,
     /// The own zone.
@@ -30,10 +30,10 @@
     pub now: Instant,
 }
 
-impl Wishes<'_> {
+impl SelectionCriteria<'_> {
     /// The best of the candidates: those for the request's kind unless they are much fuller than the others, then those near,
     /// then the one that has its prompt, else the least loaded.
-    pub fn best<'s>(&self, candidates: &[&'s Seen]) -> Option<&'s Seen> {
+    pub fn best<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
         let candidates = self.narrowed(candidates, |seen| self.is_of_kind(seen), OWN_KIND_WITHIN);
         let candidates = self.narrowed(&candidates, |seen| self.is_near(seen), OWN_ZONE_WITHIN);
         let least = self.least_load(&candidates)?;
@@ -45,12 +45,12 @@
         }
     }
 
-    fn is_of_kind(&self, seen: &Seen) -> bool {
+    fn is_of_kind(&self, seen: &TrackedServer) -> bool {
         let long_part = self.long_part.filter(|_| self.policy.kinds_apart);
         match (long_part, self.demand.kind) {
-            (None, _) | (_, Kind::Item) => true,
-            (Some(part), Kind::Long) => seen.rank < part,
-            (Some(part), Kind::Short) => seen.rank >= part,
+            (None, _) | (_, RequestKind::BatchItem) => true,
+            (Some(part), RequestKind::Long) => seen.rank < part,
+            (Some(part), RequestKind::Short) => seen.rank >= part,
         }
     }
 
@@ -58,30 +58,33 @@
         self.demand.affinity.filter(|_| self.policy.cached_prompts)
     }
 
-    fn is_near(&self, seen: &Seen) -> bool {
+    fn is_near(&self, seen: &TrackedServer) -> bool {
         !self.policy.own_zone_first || self.affinity().is_some() || seen.server.zone == self.zone
     }
 
     /// The server that keeps the request's shared part.
-    fn home<'s>(&self, candidates: &[&'s Seen]) -> Option<&'s Seen> {
+    fn home<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
         let affinity = self.affinity()?;
         candidates.iter().copied().max_by_key(|seen| splitmix64(affinity ^ stable_hash(&seen.server.id)))
     }
 
-    fn least_loaded<'s>(&self, mut candidates: Vec<&'s Seen>) -> Option<&'s Seen> {
+    fn least_loaded<'s>(&self, mut candidates: Vec<&'s TrackedServer>) -> Option<&'s TrackedServer> {
         if self.policy.random_ties {
             fastrand::shuffle(&mut candidates);
         }
-        if self.policy.two_choices && self.demand.kind != Kind::Item && self.only_from_others(&candidates) {
+        if self.policy.two_choices
+            && self.demand.kind != RequestKind::BatchItem
+            && self.only_from_others(&candidates)
+        {
             candidates.truncate(CHOICES);
         }
-        let burden = |seen: &&Seen| seen.burden(self.now);
+        let burden = |seen: &&TrackedServer| seen.burden(self.now);
         candidates.into_iter().min_by(|left, right| burden(left).total_cmp(&burden(right)))
     }
 
     /// Whether the load is known from others and not from the servers. What others told is a moment old: all who go by the least
     /// of it would go to the same server. Items come from few stores, which know their own best.
-    fn only_from_others(&self, candidates: &[&Seen]) -> bool {
+    fn only_from_others(&self, candidates: &[&TrackedServer]) -> bool {
         candidates.iter().any(|seen| seen.knows_others(self.now))
             && !candidates.iter().any(|seen| seen.tells_load(self.now))
     }
@@ -89,18 +92,18 @@
     /// Those that fulfil a wish, unless the least loaded of them is fuller by more than `within` than the least loaded of all.
     fn narrowed<'s>(
         &self,
-        candidates: &[&'s Seen],
-        wish: impl Fn(&Seen) -> bool,
+        candidates: &[&'s TrackedServer],
+        wish: impl Fn(&TrackedServer) -> bool,
         within: f64,
-    ) -> Vec<&'s Seen> {
-        let wished: Vec<&Seen> = candidates.iter().copied().filter(|seen| wish(seen)).collect();
+    ) -> Vec<&'s TrackedServer> {
+        let wished: Vec<&TrackedServer> = candidates.iter().copied().filter(|seen| wish(seen)).collect();
         match (self.least_load(&wished), self.least_load(candidates)) {
             (Some(least), Some(least_of_all)) if least <= least_of_all + within => wished,
             _ => candidates.to_vec(),
         }
     }
 
-    fn least_load(&self, candidates: &[&Seen]) -> Option<f64> {
+    fn least_load(&self, candidates: &[&TrackedServer]) -> Option<f64> {
         candidates.iter().map(|seen| seen.burden(self.now)).min_by(f64::total_cmp)
     }
 }
--- a/crates/upstream/src/send.rs
+++ b/crates/upstream/src/send.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::timeout;
 
-use crate::connection::{Answer, Connections, ExchangeError};
+use crate::connection::{Connections, ExchangeError, UpstreamResponse};
 use crate::{DEADLINE, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD, TARGET_INSTANCE};
 use fennelgauge_model::Server;
 use fennelgauge_settings::Policy;
@@ -21,7 +21,7 @@
 
 /// A request as it goes to whichever server is chosen.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     pub method: Method,
     pub path_and_query: String,
     pub host: String,
@@ -39,13 +39,13 @@
     #[error("the server said that it has not run the request ({0})")]
     NotExecuted(StatusCode),
     #[error("the server broke off or was silent: it may have run the request")]
-    MayHaveRun,
+    MayHaveExecuted,
     #[error("the time is up: the server may have run the request")]
-    TimeUp,
+    TimedOut,
 }
 
 /// A client for calls to the platform, without habits of its own: no redirects, no decompression, no added headers.
-pub fn client() -> awc::Client {
+pub fn platform_client() -> awc::Client {
     let connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
         .conn_keep_alive(IDLE_FOR)
@@ -61,11 +61,11 @@
 
 /// Sends requests.
 #[derive(Clone, Default)]
-pub struct Sender {
+pub struct RequestSender {
     connections: Connections,
 }
 
-impl Sender {
+impl RequestSender {
     /// As the policy has it.
     pub fn new(policy: &Policy) -> Self {
         Self { connections: Connections::new(policy.adaptive_connect) }
@@ -80,29 +80,29 @@
     pub async fn send(
         &self,
         server: &Server,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         deadline: Duration,
         within: Duration,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         let head = head(server, outgoing, deadline).ok_or(SendError::NotSent)?;
         let exchange = self.connections.exchange(server.addr, head, &outgoing.body);
         let answer = match timeout(within, exchange).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(ExchangeError::NotSent)) => return Err(SendError::NotSent),
-            Ok(Err(ExchangeError::Broken)) => return Err(SendError::MayHaveRun),
-            Err(_) => return Err(SendError::TimeUp),
+            Ok(Err(ExchangeError::Broken)) => return Err(SendError::MayHaveExecuted),
+            Err(_) => return Err(SendError::TimedOut),
         };
         checked(answer, &outgoing.id).await
     }
 
     /// Closes idle connections to servers that are not listed any more.
-    pub fn keep_only(&self, servers: &[Server]) {
-        self.connections.keep_only(|peer| servers.iter().any(|server| server.addr == *peer));
+    pub fn retain_servers(&self, servers: &[Server]) {
+        self.connections.retain_servers(|peer| servers.iter().any(|server| server.addr == *peer));
     }
 }
 
 /// The head that goes to the server; none if the path cannot be sent.
-fn head(server: &Server, outgoing: &Outgoing, deadline: Duration) -> Option<RequestHead> {
+fn head(server: &Server, outgoing: &OutgoingRequest, deadline: Duration) -> Option<RequestHead> {
     let mut head = RequestHead::default();
     head.method = outgoing.method.clone();
     head.uri = outgoing.path_and_query.parse().ok()?;
@@ -117,11 +117,11 @@
     Some(head)
 }
 
-async fn checked(answer: Answer, id: &str) -> Result<Answer, SendError> {
+async fn checked(answer: UpstreamResponse, id: &str) -> Result<UpstreamResponse, SendError> {
     let status = answer.status();
     let answered = answer.headers().get(REQUEST_ID).map(|value| value.as_bytes() == id.as_bytes());
     if answered == Some(false) || (answered.is_none() && status.is_success()) {
-        return Err(SendError::MayHaveRun);
+        return Err(SendError::MayHaveExecuted);
     }
     let not_executed =
         answer.headers().contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST;
@@ -138,26 +138,26 @@
 }
 
 /// The value of an answer's load header.
-fn told_load(answer: &Answer) -> Option<&str> {
+fn told_load(answer: &UpstreamResponse) -> Option<&str> {
     answer.headers().get(SERVER_LOAD)?.to_str().ok()
 }
 
-impl crate::Pool {
+impl crate::ServerPool {
     /// Learns from the head of an answer.
-    pub fn learn(&self, ticket: &crate::Ticket, answer: &Answer) {
+    pub fn record_response(&self, ticket: &crate::InFlightGuard, answer: &UpstreamResponse) {
         match self.learns_errors() && is_own_error(answer.status()) {
-            true => self.errored(ticket),
-            false => self.answered(ticket, told_load(answer)),
+            true => self.record_error_response(ticket),
+            false => self.record_success(ticket, told_load(answer)),
         }
     }
 
     /// Learns from a failure.
-    pub fn learn_failure(&self, server: &Server, error: &SendError) {
+    pub fn record_send_error(&self, server: &Server, error: &SendError) {
         match error {
-            SendError::NotSent => self.not_reached(&server.id),
-            SendError::MayHaveRun | SendError::TimeUp => self.failed(&server.id),
-            SendError::NotExecuted(StatusCode::MISDIRECTED_REQUEST) => self.failed(&server.id),
-            SendError::NotExecuted(_) => self.full(&server.id),
+            SendError::NotSent => self.record_connect_failure(&server.id),
+            SendError::MayHaveExecuted | SendError::TimedOut => self.record_failure(&server.id),
+            SendError::NotExecuted(StatusCode::MISDIRECTED_REQUEST) => self.record_failure(&server.id),
+            SendError::NotExecuted(_) => self.record_overload(&server.id),
         }
     }
 }
--- a/crates/upstream/src/share.rs
+++ b/crates/upstream/src/stats_exchange.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::subscriber::source_at;
-use crate::{Known, Pool, Subscription};
+use crate::{ServerPool, Subscription, TierState};
 
 /// A report is sent so often, or as seldom as its size makes it.
 const REPORT_EVERY: Duration = Duration::from_millis(100);
@@ -26,10 +26,10 @@
 /// A process that cannot reach this part of its servers is cut off itself: it spreads no suspicion.
 const CUT_OFF_PART: f64 = 0.5;
 
-impl Pool {
+impl ServerPool {
     /// What is longer than answers usually take to begin.
     fn unusual_silence(&self) -> Duration {
-        let usual = self.heads.borrow().longest_usual().unwrap_or(MOST_SILENCE);
+        let usual = self.heads.borrow().upper_bound().unwrap_or(MOST_SILENCE);
         usual.clamp(LEAST_SILENCE, MOST_SILENCE)
     }
 
@@ -68,7 +68,13 @@
 
 /// Reports without end, to the next source when one gives no answer. Nothing waits for it: without answers servers are
 /// chosen by what is seen here.
-pub async fn share_uses(pool: Pool, known: Rc<Known>, caller: Caller, subscription: Subscription, life: u64) {
+pub async fn exchange_server_stats(
+    pool: ServerPool,
+    known: Rc<TierState>,
+    caller: Caller,
+    subscription: Subscription,
+    life: u64,
+) {
     if !pool.policy.shared_uses {
         return;
     }
--- a/crates/upstream/src/share/tests.rs
+++ b/crates/upstream/src/stats_exchange/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::pool::tests::{on_paused_clock, part_of_a, three_servers, two_servers};
-use crate::Demand;
+use crate::RequestProfile;
 use fennelgauge_settings::Policy;
 
 fn told(id: &str, change: impl Fn(&mut ServerStats)) -> StatsTotals {
@@ -32,7 +32,7 @@
         let pool = two_servers(&Policy::default());
         pool.take_sums(&told("a", |told| told.suspected_by = 1));
         pool.suspect_silent();
-        assert_eq!(pool.to_connect()[0].id, "a");
+        assert_eq!(pool.servers_to_probe()[0].id, "a");
         assert_eq!(part_of_a(&pool), 0);
     });
 }
@@ -42,18 +42,18 @@
     on_paused_clock(async {
         let pool = two_servers(&Policy::default());
         assert!(pool.uses().is_empty());
-        let ticket = pool.choose("s", &["b".to_owned()], &Demand::default()).expect("a");
-        pool.answered(&ticket, None);
+        let ticket = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
+        pool.record_success(&ticket, None);
         let uses = pool.uses();
         assert_eq!(
             (uses[0].server, uses[0].in_flight, uses[0].success_tenths),
             (ServerKey::from_id("a"), 1, 10)
         );
         drop(ticket);
-        pool.not_reached("b");
-        let suspected = |pool: &Pool| pool.uses().iter().map(|told| told.suspected_by).sum::<u32>();
+        pool.record_connect_failure("b");
+        let suspected = |pool: &ServerPool| pool.uses().iter().map(|told| told.suspected_by).sum::<u32>();
         assert_eq!(suspected(&pool), 1);
-        pool.not_reached("a");
+        pool.record_connect_failure("a");
         assert_eq!(suspected(&pool), 0, "it cannot reach anybody");
     });
 }
@@ -72,15 +72,15 @@
         for (load, drawn_alone) in [(None, true), (Some("0,0,8"), false)] {
             let pool = three_servers();
             for _ in 0..3 {
-                let ticket = pool.choose("s", &[], &Demand::default()).expect("a server");
-                pool.answered(&ticket, load);
+                let ticket = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
+                pool.record_success(&ticket, load);
             }
             let mut uses: Vec<ServerStats> =
                 ["a", "b"].map(|id| ServerStats::empty(ServerKey::from_id(id))).to_vec();
             uses.iter_mut().for_each(|told| told.in_flight = 4);
             pool.take_sums(&StatsTotals { reporters: 3, servers: uses });
             let chosen: Vec<String> = (0..100)
-                .filter_map(|_| pool.choose("s", &[], &Demand::default()))
+                .filter_map(|_| pool.choose("s", &[], &RequestProfile::default()))
                 .map(|ticket| ticket.server.id.clone())
                 .collect();
             assert_eq!(chosen.iter().any(|id| id != "c"), drawn_alone, "{load:?}");
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -9,8 +9,8 @@
 use fennelgauge_wire::{Caller, Reply, Request, Watch};
 use tokio::time::{sleep, Instant};
 
-use crate::known::IN_TOUCH;
-use crate::Known;
+use crate::tier_state::IN_TOUCH;
+use crate::TierState;
 
 const WAIT: Duration = Duration::from_millis(400);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -40,21 +40,21 @@
 }
 
 /// Follows without end.
-pub async fn subscribe(known: Rc<Known>, caller: Caller, subscription: Subscription) {
+pub async fn subscribe(known: Rc<TierState>, caller: Caller, subscription: Subscription) {
     let mut source = 0;
     loop {
         let Some(peer) = source_at(source, &known, &subscription) else {
             sleep(RETRY).await;
             continue;
         };
-        let watch = Request::Watch(Watch { have: known.have(), wait_ms: WAIT.as_millis() as u64 });
+        let watch = Request::Watch(Watch { have: known.known_versions(), wait_ms: WAIT.as_millis() as u64 });
         let began = Instant::now();
         match caller.call(peer, watch, ANSWER_TIMEOUT).await {
             Ok(Reply::News(news)) => {
                 let stale = news.confirmed_age_ms > IN_TOUCH.as_millis() as u64;
-                let before = known.have().view;
-                known.take(*news);
-                if known.have().view > before {
+                let before = known.known_versions().view;
+                known.apply_update(*news);
+                if known.known_versions().view > before {
                     // The links of a later view are better sources than whoever is next.
                     source = 0;
                 } else if stale {
@@ -73,7 +73,7 @@
 }
 
 /// The source to ask as number `number`; none if there is none.
-pub(crate) fn source_at(number: usize, known: &Known, subscription: &Subscription) -> Option<SocketAddr> {
+pub(crate) fn source_at(number: usize, known: &TierState, subscription: &Subscription) -> Option<SocketAddr> {
     let mut sources = core_sources(known, subscription);
     if let Some(source) = sources.get(number) {
         return Some(*source);
@@ -88,7 +88,7 @@
 }
 
 /// Links of the core's chain, those of the own zone first, then by a ranking of the own node's; then its other voters.
-fn core_sources(known: &Known, subscription: &Subscription) -> Vec<SocketAddr> {
+fn core_sources(known: &TierState, subscription: &Subscription) -> Vec<SocketAddr> {
     let Some(view) = known.view() else { return Vec::new() };
     let mut links: Vec<_> = view.chain.iter().collect();
     links.sort_by_key(|member| {
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -8,7 +8,7 @@
 fn events_are_cut_wherever_the_bytes_are() {
     let stream = b"versions: 3\nid: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\nid: 3\ndata:";
     for size in 1..stream.len() {
-        let mut reader = EventReader::default();
+        let mut reader = EventParser::default();
         let mut events = Vec::new();
         for piece in stream.chunks(size) {
             reader.push(piece);
@@ -17,7 +17,7 @@
         let read: Vec<(Option<u64>, &str)> =
             events.iter().map(|event| (event.id, event.data.as_str())).collect();
         assert_eq!(read, [(Some(1), "one"), (Some(2), "two\nmore")], "in pieces of {size}");
-        assert!(reader.has_rest());
+        assert!(reader.has_partial_event());
     }
 }
 
@@ -36,8 +36,8 @@
     for (name, ids, taken, last) in cases {
         let mut order = EventOrder::default();
         let event = |id: &Option<u64>| Event { bytes: vec![], id: *id, data: String::new() };
-        assert_eq!(ids.iter().map(event).take_while(|event| order.take(event)).count(), taken, "{name}");
-        assert_eq!(order.last(), last, "{name}");
+        assert_eq!(ids.iter().map(event).take_while(|event| order.accept(event)).count(), taken, "{name}");
+        assert_eq!(order.last_id(), last, "{name}");
     }
 }
 
@@ -53,8 +53,8 @@
     }
 }
 
-fn pool(servers: Vec<Server>) -> Pool {
-    let pool = Pool::new("z", &Policy::default());
+fn pool(servers: Vec<Server>) -> ServerPool {
+    let pool = ServerPool::new("z", &Policy::default());
     pool.update(&ServerList { version: 1, reader_incarnation: 1, servers });
     pool
 }
@@ -66,18 +66,21 @@
         server("b", ServerState::Ready),
         server("c", ServerState::Draining),
     ]);
-    let first = pool.choose("s", &[], &Demand::default()).expect("a server");
-    let second = pool.choose("s", &[], &Demand::default()).expect("a server");
+    let first = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
+    let second = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
     assert_ne!(first.server.id, second.server.id);
-    assert!(pool.choose("other", &[], &Demand::default()).is_none());
+    assert!(pool.choose("other", &[], &RequestProfile::default()).is_none());
     assert!(
-        pool.choose("s", &["a".to_owned(), "b".to_owned()], &Demand::default()).is_none(),
+        pool.choose("s", &["a".to_owned(), "b".to_owned()], &RequestProfile::default()).is_none(),
         "draining is no choice"
     );
-    pool.answered(&first, Some("4,9,4"));
+    pool.record_success(&first, Some("4,9,4"));
     drop((first, second));
-    pool.failed("b");
-    assert_eq!(pool.choose("s", &[], &Demand::default()).expect("the one that does not rest").server.id, "a");
+    pool.record_failure("b");
+    assert_eq!(
+        pool.choose("s", &[], &RequestProfile::default()).expect("the one that does not rest").server.id,
+        "a"
+    );
 }
 
 #[test]
@@ -86,21 +89,21 @@
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
         let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
-        pool.failed("a");
-        let choose = || pool.choose("s", &[], &Demand::default()).expect("a server");
+        pool.record_failure("a");
+        let choose = || pool.choose("s", &[], &RequestProfile::default()).expect("a server");
         let held: Vec<_> = (0..4).map(|_| choose()).collect();
         assert!(held.iter().all(|ticket| ticket.server.id == "b"), "it rests");
         tokio::time::advance(Duration::from_secs(1)).await;
         let trial = choose();
         assert_eq!(trial.server.id, "a");
         assert_eq!(choose().server.id, "b", "one at a time");
-        pool.answered(&trial, None);
+        pool.record_success(&trial, None);
         assert_eq!(choose().server.id, "a", "it answers again");
     });
 }
 
-fn same() -> Demand {
-    Demand { affinity: Some(7), prompt_tokens: 0, kind: Kind::Short }
+fn same() -> RequestProfile {
+    RequestProfile { affinity: Some(7), prompt_tokens: 0, kind: RequestKind::Short }
 }
 
 #[test]
@@ -113,7 +116,7 @@
         (Some("garbled,a:b,"), false, 0),
     ];
     for (parts, bound, tokens) in cases {
-        let demand = Demand::of_prefix(parts);
+        let demand = RequestProfile::from_prefix_header(parts);
         assert_eq!((demand.affinity.is_some(), demand.prompt_tokens), (bound, tokens), "{parts:?}");
     }
 }
@@ -121,21 +124,22 @@
 #[test]
 fn a_server_that_still_reads_prompts_is_left_in_favour_of_another() {
     let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
-    let large = Demand { affinity: None, prompt_tokens: 50_000, kind: Kind::Short };
+    let large = RequestProfile { affinity: None, prompt_tokens: 50_000, kind: RequestKind::Short };
     let reading = pool.choose("s", &[], &large).expect("a server");
-    let other = || pool.choose("s", &[], &Demand::default()).expect("a server").server.id.clone();
+    let other = || pool.choose("s", &[], &RequestProfile::default()).expect("a server").server.id.clone();
     assert!((0..3).all(|_| other() != reading.server.id));
-    pool.answered(&reading, None);
+    pool.record_success(&reading, None);
     // One is there still: the second of three may go to either, where both are alike.
-    let held: Vec<_> = (0..3).map(|_| pool.choose("s", &[], &Demand::default()).expect("a server")).collect();
+    let held: Vec<_> =
+        (0..3).map(|_| pool.choose("s", &[], &RequestProfile::default()).expect("a server")).collect();
     assert!(held.iter().any(|ticket| ticket.server.id == reading.server.id), "its prompt is read");
 }
 
 #[test]
 fn short_requests_keep_away_from_the_servers_of_long_ones_unless_theirs_are_full() {
     let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
-    let long = Demand { affinity: None, prompt_tokens: 6_000, kind: Kind::Long };
-    let short = Demand { affinity: None, prompt_tokens: 2_000, kind: Kind::Short };
+    let long = RequestProfile { affinity: None, prompt_tokens: 6_000, kind: RequestKind::Long };
+    let short = RequestProfile { affinity: None, prompt_tokens: 2_000, kind: RequestKind::Short };
     let first = pool.choose("s", &[], &long).expect("a server");
     let long_server = first.server.id.clone();
     drop(first);
@@ -157,11 +161,11 @@
 
 #[test]
 fn versions_only_rise() {
-    let known = Known::default();
+    let known = TierState::default();
     let configuration = |generation: u64| format!("{{\"generation\":{generation}}}").into_bytes();
-    assert!(known.take_configuration(7, configuration(7)));
-    assert!(!known.take_configuration(5, configuration(5)));
-    assert!(!known.take_configuration(9, b"{".to_vec()), "unreadable");
+    assert!(known.update_configuration(7, configuration(7)));
+    assert!(!known.update_configuration(5, configuration(5)));
+    assert!(!known.update_configuration(9, b"{".to_vec()), "unreadable");
     assert_eq!(known.generation(), 7);
 }
 
@@ -171,12 +175,12 @@
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
         tokio::time::advance(Duration::from_secs(10)).await;
-        let known = Known::default();
+        let known = TierState::default();
         let list = |version| ServerList { version, reader_incarnation: version, servers: vec![] };
-        known.take_servers(Some(list(1)), Duration::from_millis(100));
-        known.take_servers(Some(list(2)), Duration::from_millis(900));
+        known.update_servers(Some(list(1)), Duration::from_millis(100));
+        known.update_servers(Some(list(2)), Duration::from_millis(900));
         assert_eq!(known.servers().version, 1);
-        known.take_servers(Some(list(3)), Duration::from_millis(10));
+        known.update_servers(Some(list(3)), Duration::from_millis(10));
         assert_eq!(known.servers().version, 3);
     });
 }
@@ -186,19 +190,20 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
-        let known = Known::default();
-        assert!(known.take_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
+        let known = TierState::default();
+        assert!(known.update_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
         let watch = fennelgauge_wire::Watch { have: Default::default(), wait_ms: 400 };
-        let up_to_date = fennelgauge_wire::Watch { have: known.have(), wait_ms: 400 };
-        let given =
-            |age_ms| known.answer_in_touch(&watch).map(move |news| (news.configuration.is_some(), age_ms));
+        let up_to_date = fennelgauge_wire::Watch { have: known.known_versions(), wait_ms: 400 };
+        let given = |age_ms| {
+            known.wait_for_confirmed_update(&watch).map(move |news| (news.configuration.is_some(), age_ms))
+        };
         assert_eq!(given(0).await, (false, 0), "nobody has confirmed its view yet");
         for (age_ms, expected) in [(0, true), (1_400, true), (1_600, false), (60_000, false)] {
             tokio::time::advance(Duration::from_secs(90)).await;
-            known.take_confirmed(Duration::from_millis(age_ms));
+            known.update_view_confirmation(Duration::from_millis(age_ms));
             assert_eq!(given(age_ms).await, (expected, age_ms));
             let began = tokio::time::Instant::now();
-            known.answer_in_touch(&up_to_date).await;
+            known.wait_for_confirmed_update(&up_to_date).await;
             assert_eq!(began.elapsed().is_zero(), !expected, "a watcher is not kept from trying another");
         }
     });
@@ -214,10 +219,10 @@
         ("only short ones", &[800, 900, 700, 800, 800, 700], false),
     ];
     for (name, prompts, apart) in cases {
-        let mut mix = mix::Mix::new();
+        let mut mix = prompt_mix::PromptMix::new();
         let now = tokio::time::Instant::now();
         for tokens in prompts {
-            mix.count(&Demand::of_prefix(Some(&format!("a1:{tokens}"))), now);
+            mix.count(&RequestProfile::from_prefix_header(Some(&format!("a1:{tokens}"))), now);
         }
         assert_eq!(mix.long_part().is_some(), apart, "{name}");
     }
--- a/crates/upstream/src/known.rs
+++ b/crates/upstream/src/tier_state.rs
@@ -10,16 +10,16 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::texts::Texts;
+use crate::configuration_texts::ConfigurationTexts;
 
 /// A source whose view was confirmed by a majority within this time is in touch.
 pub(crate) const IN_TOUCH: Duration = Duration::from_millis(1_500);
 
 /// Shared by all parts of a process.
 #[derive(Default)]
-pub struct Known {
+pub struct TierState {
     table: RefCell<Option<Rc<RoutingTable>>>,
-    texts: RefCell<Texts>,
+    texts: RefCell<ConfigurationTexts>,
     /// The next news of the configuration are to be whole.
     wants_whole: Cell<bool>,
     servers: RefCell<ServerList>,
@@ -30,14 +30,14 @@
     changed: Notify,
 }
 
-impl Known {
+impl TierState {
     /// Of a process that others watch: it keeps earlier configurations, so that watchers get changes only.
-    pub fn of_source() -> Self {
-        Self { texts: RefCell::new(Texts::with_earlier()), ..Self::default() }
+    pub fn for_source() -> Self {
+        Self { texts: RefCell::new(ConfigurationTexts::with_earlier()), ..Self::default() }
     }
 
     /// The configuration in force, ready for look-ups.
-    pub fn table(&self) -> Option<Rc<RoutingTable>> {
+    pub fn routing_table(&self) -> Option<Rc<RoutingTable>> {
         self.table.borrow().clone()
     }
 
@@ -58,12 +58,12 @@
     }
 
     /// How long ago the list of servers was read; none before the first.
-    pub fn servers_age(&self) -> Option<Duration> {
+    pub fn server_list_age(&self) -> Option<Duration> {
         self.servers_read.get().map(|read| read.elapsed())
     }
 
     /// How long ago the core's view was confirmed, as far as is known here.
-    pub fn confirmed_age(&self) -> Option<Duration> {
+    pub fn view_confirmation_age(&self) -> Option<Duration> {
         self.confirmed.get().map(|confirmed| confirmed.elapsed())
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Takes a configuration unless it is older. One that cannot be read is left alone.
-    pub fn take_configuration(&self, generation: u64, json: Vec<u8>) -> bool {
+    pub fn update_configuration(&self, generation: u64, json: Vec<u8>) -> bool {
         if generation <= self.generation() {
             return false;
         }
@@ -97,7 +97,7 @@
         match read {
             Ok(json) => {
                 self.wants_whole.set(false);
-                self.take_configuration(news.generation, json);
+                self.update_configuration(news.generation, json);
             }
             Err(reason) => {
                 log::warn!("configuration {}: {reason}", news.generation);
@@ -107,7 +107,7 @@
     }
 
     /// Takes a list of servers that was read `age` ago, unless a later reading is known.
-    pub fn take_servers(&self, list: Option<ServerList>, age: Duration) {
+    pub fn update_servers(&self, list: Option<ServerList>, age: Duration) {
         let Some(read) = Instant::now().checked_sub(age) else { return };
         if self.servers_read.get().is_some_and(|known| known >= read) {
             return;
@@ -119,14 +119,14 @@
         }
     }
 
-    pub fn take_stores(&self, stores: StoreView) {
+    pub fn update_stores(&self, stores: StoreView) {
         if stores.epoch > self.stores.borrow().epoch {
             *self.stores.borrow_mut() = Rc::new(stores);
             self.changed.notify_waiters();
         }
     }
 
-    pub fn take_view(&self, view: &View) {
+    pub fn update_view(&self, view: &View) {
         let known = self.view.borrow().as_ref().map_or(0, |view| view.epoch);
         if view.epoch > known {
             *self.view.borrow_mut() = Some(Rc::new(view.clone()));
@@ -135,7 +135,7 @@
     }
 
     /// The core's view was confirmed that long ago.
-    pub fn take_confirmed(&self, age: Duration) {
+    pub fn update_view_confirmation(&self, age: Duration) {
         let Some(confirmed) = Instant::now().checked_sub(age) else { return };
         if self.confirmed.get().is_none_or(|known| known < confirmed) {
             self.confirmed.set(Some(confirmed));
@@ -143,22 +143,22 @@
     }
 
     /// Takes all that is newer.
-    pub fn take(&self, news: News) {
+    pub fn apply_update(&self, news: News) {
         if let Some(configuration) = news.configuration {
             self.take_news(&configuration);
         }
-        self.take_servers(news.servers, Duration::from_millis(news.servers_age_ms));
+        self.update_servers(news.servers, Duration::from_millis(news.servers_age_ms));
         if let Some(stores) = news.stores {
-            self.take_stores(stores);
+            self.update_stores(stores);
         }
         if let Some(view) = news.view {
-            self.take_view(&view);
+            self.update_view(&view);
         }
-        self.take_confirmed(Duration::from_millis(news.confirmed_age_ms));
+        self.update_view_confirmation(Duration::from_millis(news.confirmed_age_ms));
     }
 
     /// What this process has.
-    pub fn have(&self) -> Have {
+    pub fn known_versions(&self) -> Have {
         let servers = self.servers.borrow();
         Have {
             generation: if self.wants_whole.get() { 0 } else { self.generation() },
@@ -169,7 +169,7 @@
     }
 
     /// Answers a watcher as soon as there is something newer, or when its time is up.
-    pub async fn answer(&self, watch: &Watch) -> News {
+    pub async fn wait_for_update(&self, watch: &Watch) -> News {
         let until = Instant::now() + Duration::from_millis(watch.wait_ms.min(5_000));
         loop {
             let changed = self.changed.notified();
@@ -184,15 +184,15 @@
 
     /// Whether this process, as a source, knew of a majority's agreement a moment ago.
     fn is_in_touch(&self) -> bool {
-        self.confirmed_age().is_some_and(|age| age <= IN_TOUCH)
+        self.view_confirmation_age().is_some_and(|age| age <= IN_TOUCH)
     }
 
-    /// As [`Known::answer`]; but a process that is out of touch with a majority answers at once, so that the watcher can try
+    /// As [`TierState::wait_for_update`]; but a process that is out of touch with a majority answers at once, so that the watcher can try
     /// another, and gives out neither configuration nor stores: there may be newer ones, and a watcher that has just
     /// started could not tell.
-    pub async fn answer_in_touch(&self, watch: &Watch) -> News {
+    pub async fn wait_for_confirmed_update(&self, watch: &Watch) -> News {
         let mut news = match self.is_in_touch() {
-            true => self.answer(watch).await,
+            true => self.wait_for_update(watch).await,
             false => self.news(&watch.have),
         };
         if !self.is_in_touch() {
@@ -203,7 +203,7 @@
     }
 
     fn is_newer_than(&self, have: &Have) -> bool {
-        let own = self.have();
+        let own = self.known_versions();
         self.generation() > have.generation
             || own.stores > have.stores
             || own.view > have.view
@@ -211,15 +211,15 @@
     }
 
     fn news(&self, have: &Have) -> News {
-        let own = self.have();
+        let own = self.known_versions();
         let has_newer = self.generation() > have.generation;
         News {
             configuration: has_newer.then(|| self.texts.borrow_mut().news(have.generation)),
             servers: (own.servers != have.servers).then(|| self.servers.borrow().clone()),
-            servers_age_ms: age_ms(self.servers_age()),
+            servers_age_ms: age_ms(self.server_list_age()),
             stores: (own.stores > have.stores).then(|| StoreView::clone(&self.stores.borrow())),
             view: self.view.borrow().as_ref().filter(|_| own.view > have.view).map(|view| View::clone(view)),
-            confirmed_age_ms: age_ms(self.confirmed_age()),
+            confirmed_age_ms: age_ms(self.view_confirmation_age()),
         }
     }
 }
--- a/crates/upstream/src/seen.rs
+++ b/crates/upstream/src/tracked_server.rs
@@ -28,7 +28,7 @@
 
 /// A server, and what was seen of it from here.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct TrackedServer {
     pub server: Server,
     pub listed: bool,
     /// Its place in a fixed ranking of its service's servers in its zone, between 0 and 1.
@@ -70,7 +70,7 @@
     in_flight_then: u32,
 }
 
-impl Seen {
+impl TrackedServer {
     pub fn new(server: Server) -> Self {
         Self {
             server,
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -8,7 +8,7 @@
 use actix_web::web::Bytes;
 use awc::http::Method;
 use fennelgauge_model::{Server, ServerState};
-use fennelgauge_upstream::{Outgoing, SendError, Sender};
+use fennelgauge_upstream::{OutgoingRequest, RequestSender, SendError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
@@ -58,8 +58,8 @@
     }
 }
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> OutgoingRequest {
+    OutgoingRequest {
         method: Method::POST,
         path_and_query: "/a".to_owned(),
         host: "h".to_owned(),
@@ -70,7 +70,7 @@
 }
 
 /// The body of an answer; an error if it is not whole.
-async fn body(sender: &Sender, server: &Server) -> Result<Vec<u8>, String> {
+async fn body(sender: &RequestSender, server: &Server) -> Result<Vec<u8>, String> {
     let sent = sender.send(server, &outgoing(), WITHIN, WITHIN).await;
     let mut answer = sent.map_err(|error| error.to_string())?;
     let mut body = Vec::new();
@@ -100,7 +100,7 @@
 fn a_body_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\n\r\nbody";
     local(async {
-        let sender = Sender::default();
+        let sender = RequestSender::default();
         let (ending, connections) = answering(HEAD, true).await;
         assert_eq!(body(&sender, &ending).await, Ok(b"body".to_vec()));
         assert_eq!(body(&sender, &ending).await, Ok(b"body".to_vec()));
@@ -142,7 +142,7 @@
     local(async move {
         for (name, bytes, whole) in cases {
             let (server, _) = answering(bytes, true).await;
-            let body = body(&Sender::default(), &server).await;
+            let body = body(&RequestSender::default(), &server).await;
             assert_eq!(body.is_ok(), whole, "{name}: {body:?}");
         }
     });
@@ -154,10 +154,10 @@
         (
             "of another request",
             b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-0\r\nContent-Length: 0\r\n\r\n",
-            SendError::MayHaveRun,
+            SendError::MayHaveExecuted,
         ),
-        ("without an id", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", SendError::MayHaveRun),
-        ("no HTTP", b"hello, is it me?\r\n\r\n", SendError::MayHaveRun),
+        ("without an id", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", SendError::MayHaveExecuted),
+        ("no HTTP", b"hello, is it me?\r\n\r\n", SendError::MayHaveExecuted),
         (
             "refused",
             b"HTTP/1.1 503 Busy\r\nX-Fennelgauge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
@@ -167,11 +167,11 @@
     local(async move {
         for (name, bytes, expected) in cases {
             let (server, _) = answering(bytes, true).await;
-            let sent = Sender::default().send(&server, &outgoing(), WITHIN, WITHIN).await;
+            let sent = RequestSender::default().send(&server, &outgoing(), WITHIN, WITHIN).await;
             assert_eq!(sent.err(), Some(expected), "{name}");
         }
         let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let sent = Sender::default().send(&server(nobody), &outgoing(), WITHIN, WITHIN).await;
+        let sent = RequestSender::default().send(&server(nobody), &outgoing(), WITHIN, WITHIN).await;
         assert_eq!(sent.err(), Some(SendError::NotSent));
     });
 }
@@ -186,7 +186,7 @@
     local(async move {
         for (name, bytes, expected) in cases {
             let (server, connections) = answering(bytes, false).await;
-            let sender = Sender::default();
+            let sender = RequestSender::default();
             for _ in 0..3 {
                 assert_eq!(body(&sender, &server).await.as_deref(), Ok(b"body".as_slice()), "{name}");
             }
