--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
-use fennelgauge_encoding::{packed, unpacked};
+use fennelgauge_encoding::{compress, decompress};
 use fennelgauge_model::{apply_patch, Document};
-use fennelgauge_wire::{decode, encode, Order, OrderKind};
+use fennelgauge_wire::{decode, encode, ChangeKind, ConfigurationChange};
 use serde::{Deserialize, Serialize};
 
 /// Orders whose content is remembered, so that one sent again is known.
@@ -101,11 +101,11 @@
 }
 
 impl TakenOrder {
-    fn of(order: &Order) -> Self {
-        let mut whole = order.base.to_le_bytes().to_vec();
+    fn of(order: &ConfigurationChange) -> Self {
+        let mut whole = order.base_generation.to_le_bytes().to_vec();
         whole.push(order.kind as u8);
         whole.extend_from_slice(&order.body);
-        Self { base: order.base, digest: content_digest(&whole) }
+        Self { base: order.base_generation, digest: content_digest(&whole) }
     }
 }
 
@@ -119,7 +119,7 @@
 /// One change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateChange {
-    Order(Order),
+    Order(ConfigurationChange),
     /// Fixes the counts of a window.
     Usage {
         window: u64,
@@ -150,7 +150,7 @@
     pub fn written(&self) -> Vec<u8> {
         let bytes = encode(self);
         match bytes.len() > LONGEST_UNPACKED {
-            true => encode(&Carried::Packed(packed(&bytes))),
+            true => encode(&Carried::Packed(compress(&bytes))),
             false => encode(&Carried::Plain(bytes)),
         }
     }
@@ -161,7 +161,7 @@
         let bytes = match carried {
             Carried::Plain(bytes) => bytes,
             Carried::Packed(bytes) => {
-                unpacked(&bytes, MOST_BYTES).map_err(|reason| unreadable(reason.to_string())).ok()?
+                decompress(&bytes, MOST_BYTES).map_err(|reason| unreadable(reason.to_string())).ok()?
             }
         };
         decode(&bytes).map_err(|reason| unreadable(reason.to_string())).ok()
@@ -196,20 +196,20 @@
     }
 
     /// Decides about an order.
-    pub fn decide(&self, order: &Order) -> Decision {
+    pub fn decide(&self, order: &ConfigurationChange) -> Decision {
         let taken = TakenOrder::of(order);
         if self.small.orders.contains(&taken) {
             return Decision::Known;
         }
-        if order.base != self.small.generation {
-            return match self.small.forgotten_base >= Some(order.base) {
+        if order.base_generation != self.small.generation {
+            return match self.small.forgotten_base >= Some(order.base_generation) {
                 true => Decision::Forgotten,
                 false => Decision::Conflict { current: self.small.generation },
             };
         }
         let document = match order.kind {
-            OrderKind::Put => Document::parse(&order.body, self.small.generation),
-            OrderKind::Patch => apply_patch(self.configuration.json(), &order.body)
+            ChangeKind::Put => Document::parse(&order.body, self.small.generation),
+            ChangeKind::Patch => apply_patch(self.configuration.json(), &order.body)
                 .and_then(|json| Document::parse(&json, self.small.generation)),
         };
         match document {
@@ -286,13 +286,13 @@
     }
 
     fn encode(&self) -> Vec<u8> {
-        encode(&(serde_bytes::ByteBuf::from(packed(self.configuration.json())), &self.small))
+        encode(&(serde_bytes::ByteBuf::from(compress(self.configuration.json())), &self.small))
     }
 
     fn decode(bytes: &[u8]) -> Option<Self> {
         let decoded: Result<(serde_bytes::ByteBuf, SmallState), _> = decode(bytes);
         let (json, small) = decoded.map_err(|reason| log::error!("a copy cannot be read: {reason}")).ok()?;
-        let json = unpacked(&json, MOST_BYTES)
+        let json = decompress(&json, MOST_BYTES)
             .map_err(|reason| log::error!("a copy cannot be read: {reason}"))
             .ok()?;
         Some(Self { configuration: SharedConfiguration::new(json), small })
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -55,7 +55,7 @@
 
 impl Plane {
     pub fn new(settings: Settings) -> Self {
-        let caller = Caller::leaving_from(settings.peer_source_ip());
+        let caller = Caller::with_source(settings.peer_source_ip());
         Self {
             usage: RefCell::new(UsageCounts::new(settings.bounds.usage_window_s)),
             pool: ServerPool::new(&settings.zone, &settings.policy),
@@ -149,8 +149,8 @@
 
 async fn answer(known: Rc<TierState>, request: Request) -> Reply {
     match request {
-        Request::Watch(watch) => Reply::News(Box::new(known.wait_for_update(&watch).await)),
-        _ => Reply::NotHere,
+        Request::Watch(watch) => Reply::Watch(Box::new(known.wait_for_update(&watch).await)),
+        _ => Reply::Unsupported,
     }
 }
 
--- a/crates/upstream/src/configuration_texts.rs
+++ b/crates/upstream/src/configuration_texts.rs
@@ -3,8 +3,10 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use fennelgauge_encoding::{applied, checksum, decode, delta, encode, packed, unpacked, Part};
-use fennelgauge_wire::ConfigurationNews;
+use fennelgauge_encoding::{
+    apply_delta, checksum, compress, compute_delta, decode, decompress, encode, DeltaOp,
+};
+use fennelgauge_wire::ConfigurationUpdate;
 
 /// Earlier texts that a source keeps, and how many bytes of them.
 const EARLIER: usize = 12;
@@ -18,11 +20,11 @@
     #[error("its changes are for generation {base}, {own} is here: the whole text is asked for")]
     OtherBase { base: u64, own: u64 },
     #[error("{0}")]
-    Packed(#[from] fennelgauge_encoding::UnpackError),
+    Packed(#[from] fennelgauge_encoding::DecompressError),
     #[error("{0}")]
     Undecoded(#[from] fennelgauge_encoding::DecodeError),
     #[error("{0}")]
-    Misfit(#[from] fennelgauge_encoding::MisfitError),
+    Misfit(#[from] fennelgauge_encoding::DeltaMismatchError),
     #[error("it is not the text that was sent: the whole text is asked for")]
     Garbled,
 }
@@ -36,7 +38,7 @@
     earlier: VecDeque<(u64, Vec<u8>)>,
     keeps_earlier: bool,
     /// The newest text as it is sent, by the generation that a watcher has.
-    sent: HashMap<Option<u64>, ConfigurationNews>,
+    sent: HashMap<Option<u64>, ConfigurationUpdate>,
 }
 
 impl ConfigurationTexts {
@@ -66,34 +68,34 @@
     }
 
     /// The newest text for a watcher that has that generation.
-    pub fn news(&mut self, have: u64) -> ConfigurationNews {
+    pub fn news(&mut self, have: u64) -> ConfigurationUpdate {
         let base = self.earlier.iter().find(|(generation, _)| *generation == have);
         let key = base.map(|(generation, _)| *generation);
         if let Some(sent) = self.sent.get(&key) {
             return sent.clone();
         }
         let body = match base {
-            Some((_, text)) => packed(&encode(&delta(text, &self.newest))),
-            None => packed(&self.newest),
+            Some((_, text)) => compress(&encode(&compute_delta(text, &self.newest))),
+            None => compress(&self.newest),
         };
-        let news = ConfigurationNews {
+        let news = ConfigurationUpdate {
             generation: self.generation,
-            base: key,
+            base_generation: key,
             checksum: checksum(&self.newest),
-            packed: body,
+            compressed: body,
         };
         self.sent.insert(key, news.clone());
         news
     }
 
     /// The text that a source has sent.
-    pub fn read(&self, news: &ConfigurationNews) -> Result<Vec<u8>, NewsError> {
-        let body = unpacked(&news.packed, MOST_BYTES)?;
-        let text = match news.base {
+    pub fn read(&self, news: &ConfigurationUpdate) -> Result<Vec<u8>, NewsError> {
+        let body = decompress(&news.compressed, MOST_BYTES)?;
+        let text = match news.base_generation {
             None => body,
             Some(base) if base == self.generation => {
-                let parts: Vec<Part> = decode(&body)?;
-                applied(&self.newest, &parts, MOST_BYTES)?
+                let parts: Vec<DeltaOp> = decode(&body)?;
+                apply_delta(&self.newest, &parts, MOST_BYTES)?
             }
             Some(base) => return Err(NewsError::OtherBase { base, own: self.generation }),
         };
--- a/crates/upstream/src/stats_exchange.rs
+++ b/crates/upstream/src/stats_exchange.rs
@@ -90,8 +90,8 @@
         sequence += 1;
         let report = StatsReport { incarnation: life, sequence, servers: pool.uses() };
         let told = report.servers.len();
-        match caller.call(home, Request::Uses(report), ANSWER_TIMEOUT).await {
-            Ok(Reply::Uses(sums)) => {
+        match caller.call(home, Request::ServerLoad(report), ANSWER_TIMEOUT).await {
+            Ok(Reply::ServerLoad(sums)) => {
                 pool.take_sums(&sums);
                 pause = pause_for(told + sums.servers.len());
             }
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -6,7 +6,7 @@
 
 use fennelgauge_model::stable_hash;
 use fennelgauge_settings::Settings;
-use fennelgauge_wire::{Caller, Reply, Request, Watch};
+use fennelgauge_wire::{Caller, Reply, Request, WatchRequest};
 use tokio::time::{sleep, Instant};
 
 use crate::tier_state::IN_TOUCH;
@@ -47,14 +47,14 @@
             sleep(RETRY).await;
             continue;
         };
-        let watch = Request::Watch(Watch { have: known.known_versions(), wait_ms: WAIT.as_millis() as u64 });
+        let watch = Request::Watch(WatchRequest { known: known.known_versions(), wait_ms: WAIT.as_millis() as u64 });
         let began = Instant::now();
         match caller.call(peer, watch, ANSWER_TIMEOUT).await {
-            Ok(Reply::News(news)) => {
+            Ok(Reply::Watch(news)) => {
                 let stale = news.confirmed_age_ms > IN_TOUCH.as_millis() as u64;
-                let before = known.known_versions().view;
+                let before = known.known_versions().core_view;
                 known.apply_update(*news);
-                if known.known_versions().view > before {
+                if known.known_versions().core_view > before {
                     // The links of a later view are better sources than whoever is next.
                     source = 0;
                 } else if stale {
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -192,8 +192,8 @@
     runtime.block_on(async {
         let known = TierState::default();
         assert!(known.update_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
-        let watch = fennelgauge_wire::Watch { have: Default::default(), wait_ms: 400 };
-        let up_to_date = fennelgauge_wire::Watch { have: known.known_versions(), wait_ms: 400 };
+        let watch = fennelgauge_wire::WatchRequest { known: Default::default(), wait_ms: 400 };
+        let up_to_date = fennelgauge_wire::WatchRequest { known: known.known_versions(), wait_ms: 400 };
         let given = |age_ms| {
             known.wait_for_confirmed_update(&watch).map(move |news| (news.configuration.is_some(), age_ms))
         };
