--- a/crates/soak/src/batch_client.rs
+++ b/crates/soak/src/batch_client.rs
@@ -71,7 +71,7 @@
     let body = json!({ "requests": requests }).to_string().into_bytes();
     let key = World::key(tenant_of(&job.id));
     while world.phase.get() <= Phase::Recovering {
-        let to = To { address: world.tier.front(any_front(world)), path: "/batch/submit", key: &key };
+        let to = To { address: world.tier.front_address(any_front(world)), path: "/batch/submit", key: &key };
         let call = request(&Client::default(), Method::POST, &to, SUBMIT_WITHIN).force_close();
         let call = call
             .insert_header(("X-Fennelgauge-Request-Id", job.id.clone()))
@@ -101,7 +101,7 @@
         world.judge.borrow_mut().end_asked(&job);
         let (path, key) = (format!("/-/lots/{job}"), World::key(tenant_of(&job)));
         while world.phase.get() <= Phase::Recovering {
-            let to = To { address: world.tier.front(any_front(&world)), path: &path, key: &key };
+            let to = To { address: world.tier.front_address(any_front(&world)), path: &path, key: &key };
             let call = request(&Client::default(), Method::DELETE, &to, SUBMIT_WITHIN).force_close();
             match send(call, Vec::new()).await.map(|answer| answer.status) {
                 Ok(200) => {
@@ -128,7 +128,7 @@
 /// Reads one page and hands it to the judge; true if there was one.
 pub async fn read(world: &World, job: &str, start: usize, front: u8) -> bool {
     let (path, key) = (format!("/-/lots/{job}?start_after={start}"), World::key(tenant_of(job)));
-    let to = To { address: world.tier.front(front), path: &path, key: &key };
+    let to = To { address: world.tier.front_address(front), path: &path, key: &key };
     let call = request(&Client::default(), Method::GET, &to, READ_WITHIN).force_close();
     let call = call.insert_header(("X-Fennelgauge-Poll-Wait", POLL_WAIT_MS.to_string()));
     let asked = world.events.now();
--- a/crates/soak/src/live_client.rs
+++ b/crates/soak/src/live_client.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_standins::EVENTS;
+use fennelgauge_standins::EVENTS_PER_RESPONSE;
 use tokio::time::{sleep, Instant};
 
 use crate::connection::Connection;
@@ -22,7 +22,7 @@
     let mut connection: Option<Connection> = None;
     while world.phase.get() <= Phase::Recovering {
         if connection.as_ref().is_none_or(|connection| !connection.is_open()) {
-            connection = Connection::open(world.tier.front(front)).await;
+            connection = Connection::open(world.tier.front_address(front)).await;
         }
         let Some(open) = &mut connection else {
             sleep(AGAIN).await;
@@ -79,8 +79,8 @@
 /// What is wrong with an answer that claims to be whole.
 fn wrong_in(id: &str, body: &str) -> Option<String> {
     let data: Vec<&str> = body.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
-    if data.len() as u64 != EVENTS {
-        return Some(format!("{} of {EVENTS} events", data.len()));
+    if data.len() as u64 != EVENTS_PER_RESPONSE {
+        return Some(format!("{} of {EVENTS_PER_RESPONSE} events", data.len()));
     }
     let run = data[0].split(" run ").nth(1)?;
     let place = data
--- a/crates/soak/src/moments.rs
+++ b/crates/soak/src/moments.rs
@@ -111,7 +111,7 @@
 pub async fn watch_logs(world: Rc<World>, strike: impl Fn(Target, Aimed)) {
     let mut tails: BTreeMap<Target, Tail> = BTreeMap::new();
     for target in world.targets() {
-        let path = log_of(&world.tier.folder, target);
+        let path = log_of(&world.tier.directory, target);
         tails.insert(target, Tail { path, read: 0, rest: String::new() });
     }
     while world.phase.get() <= Phase::Troubled {
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -34,7 +34,7 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             let machine = fastrand::u8(0..world.plan.core);
-            let to = To { address: world.tier.control(machine), path: "/-/Config.Put", key: "" };
+            let to = To { address: world.tier.control_address(machine), path: "/-/Config.Put", key: "" };
             let call = request(&Client::default(), Method::POST, &to, ORDER_WITHIN).force_close();
             let call = call
                 .insert_header(("X-Fennelgauge-Base-Version", base.to_string()))
@@ -59,7 +59,7 @@
 /// What a data plane answers on the route of a configuration: true if it has the route, none if that cannot be told.
 pub async fn has_route(world: &World, front: u8, generation: u64) -> Option<bool> {
     let (path, key) = (World::route_of(generation), World::key(0));
-    let to = To { address: world.tier.front(front), path: &path, key: &key };
+    let to = To { address: world.tier.front_address(front), path: &path, key: &key };
     let call = request(&Client::default(), Method::POST, &to, PROBE_WITHIN).force_close();
     let call = call
         .insert_header(("X-Fennelgauge-Request-Id", format!("live-{}", world.number())))
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -47,15 +47,15 @@
         let settings = match target {
             Target::Core(place) => tier.core_settings(place),
             Target::Store(place) => tier.store_settings(place),
-            Target::DataPlane(place) => tier.data_settings(place),
+            Target::DataPlane(place) => tier.data_plane_settings(place),
         };
         let node = target.to_string();
         Self {
             target,
             settings,
-            file: tier.folder.join(format!("{node}.toml")),
-            log: log_of(&tier.folder, target),
-            data: tier.folder.join(&node),
+            file: tier.directory.join(format!("{node}.toml")),
+            log: log_of(&tier.directory, target),
+            data: tier.directory.join(&node),
             child: None,
             ending: None,
             lives: 0,
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -101,8 +101,8 @@
 /// If an address is taken.
 pub async fn start_relays(tier: &Tier, targets: &[Target], links: &Rc<Links>) -> std::io::Result<()> {
     for target in targets.iter().copied() {
-        let own = tier.peer(host(target));
-        let listener = TcpListener::bind(tier.relay(host(target))).await?;
+        let own = tier.peer_address(host(target));
+        let listener = TcpListener::bind(tier.relay_address(host(target))).await?;
         let links = links.clone();
         spawn_local(async move {
             while let Ok((stream, from)) = listener.accept().await {
@@ -118,9 +118,9 @@
 /// The last part of a process's address.
 pub fn host(target: Target) -> u8 {
     match target {
-        Target::Core(place) => Tier::CORE_HOST + place,
-        Target::Store(place) => Tier::STORE_HOST + place,
-        Target::DataPlane(place) => Tier::DATA_HOST + place,
+        Target::Core(place) => Tier::FIRST_CORE_HOST + place,
+        Target::Store(place) => Tier::FIRST_STORE_HOST + place,
+        Target::DataPlane(place) => Tier::FIRST_DATA_PLANE_HOST + place,
     }
 }
 
@@ -128,9 +128,9 @@
     let IpAddr::V4(address) = address else { return None };
     let host = address.octets()[3];
     Some(match host {
-        Tier::DATA_HOST.. => Target::DataPlane(host - Tier::DATA_HOST),
-        Tier::STORE_HOST.. => Target::Store(host - Tier::STORE_HOST),
-        Tier::CORE_HOST.. => Target::Core(host - Tier::CORE_HOST),
+        Tier::FIRST_DATA_PLANE_HOST.. => Target::DataPlane(host - Tier::FIRST_DATA_PLANE_HOST),
+        Tier::FIRST_STORE_HOST.. => Target::Store(host - Tier::FIRST_STORE_HOST),
+        Tier::FIRST_CORE_HOST.. => Target::Core(host - Tier::FIRST_CORE_HOST),
         _ => return None,
     })
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use fennelgauge_standins::{listing, start_platform, start_server, Platform, Ports, Tier};
+use fennelgauge_standins::{instance_entry, start_model_server, start_platform, Platform, Ports, Tier};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
@@ -96,16 +96,16 @@
 async fn began(setting: &Setting, seed: u64, folder: &Path) -> anyhow::Result<(Rc<World>, Rc<Operator>)> {
     let plan = setting.plan.clone();
     let salt = std::process::id().wrapping_mul(31).wrapping_add(seed as u32 * 7);
-    let ports = Ports::free(salt).context("no free ports on 127.0.0.1: end what uses them")?;
+    let ports = Ports::find_free(salt).context("no free ports on 127.0.0.1: end what uses them")?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let platform = Rc::new(Platform::default());
     let tier = Tier {
         ports,
-        folder: folder.to_owned(),
-        platform: listener.local_addr()?,
-        core: plan.core,
-        losses: plan.losses,
-        relayed: plan.relayed,
+        directory: folder.to_owned(),
+        platform_address: listener.local_addr()?,
+        core_machines: plan.core,
+        tolerated_losses: plan.losses,
+        uses_relays: plan.relayed,
     };
     start_platform(listener, platform.clone());
     let events = Events::create(&folder.join("events.log"))?;
@@ -113,9 +113,9 @@
     let runs = Rc::new(Runs { world: world.clone(), given: Default::default() });
     for place in 0..world.plan.servers {
         let id = format!("i-{place}");
-        let (address, server) = start_server(&id).await?;
+        let (address, server) = start_model_server(&id).await?;
         *server.observer.borrow_mut() = Some(runs.clone());
-        world.platform.servers.borrow_mut().push(listing(&id, "model", address, "zone-0"));
+        world.platform.instances.borrow_mut().push(instance_entry(&id, "model", address, "zone-0"));
     }
     if world.plan.relayed {
         let relayed = start_relays(&world.tier, &world.targets(), &world.links).await;
@@ -141,7 +141,7 @@
 async fn sweepable(world: &World, front: u8) -> bool {
     use awc::http::Method;
     let key = World::key(0);
-    let to = crate::http::To { address: world.tier.front(front), path: "/-/lots/none", key: &key };
+    let to = crate::http::To { address: world.tier.front_address(front), path: "/-/lots/none", key: &key };
     let call = crate::http::request(&awc::Client::default(), Method::GET, &to, Duration::from_secs(2));
     crate::http::send(call.force_close(), Vec::new()).await.is_ok_and(|answer| answer.status == 404)
 }
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -47,9 +47,9 @@
         }
         Trouble::PlatformSilent { for_ } => {
             world.unplanned(for_);
-            world.platform.silent.set(true);
+            world.platform.unresponsive.set(true);
             sleep(for_).await;
-            world.platform.silent.set(false);
+            world.platform.unresponsive.set(false);
         }
         Trouble::Cut { target, from, for_ } => {
             harm(&world, (Some(target), from), Harm::Cut, for_);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -157,7 +157,7 @@
 
     /// A configuration: routes of earlier ones stay, one is added.
     pub fn configuration(&self, generation: u64) -> Value {
-        let mut configuration = fennelgauge_standins::configuration(generation);
+        let mut configuration = fennelgauge_standins::sample_configuration(generation);
         let tenants: Vec<Value> = (0..self.plan.tenants)
             .map(
                 |place| json!({ "name": Self::tenant(place), "api_keys": [Self::key(place)], "priority": 1 }),
@@ -191,7 +191,7 @@
 }
 
 impl Observer for Runs {
-    fn began(&self, id: &str, _after: u64) {
+    fn run_started(&self, id: &str, _after: u64) {
         if id.starts_with("live-") {
             *self.world.live_runs.borrow_mut().entry(id.to_owned()).or_default() += 1;
             return;
@@ -203,7 +203,7 @@
         }
     }
 
-    fn done(&self, id: &str, after: u64, events: &[String]) {
+    fn run_completed(&self, id: &str, after: u64, events: &[String]) {
         if id.starts_with("live-") {
             return;
         }
--- a/crates/standins/examples/hollow.rs
+++ b/crates/standins/examples/hollow.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fennelgauge_control_plane::process;
-use fennelgauge_standins::{configuration, start_platform, Platform, Ports, Tier};
+use fennelgauge_standins::{sample_configuration, start_platform, Platform, Ports, Tier};
 use fennelgauge_upstream::{subscribe, Known, Subscription};
 use fennelgauge_wire::Caller;
 use tokio::net::TcpListener;
@@ -30,26 +30,26 @@
 }
 
 async fn measure(count: usize, salt: u32) -> anyhow::Result<()> {
-    let ports = Ports::free(std::process::id() + 100 * salt).expect("free ports");
+    let ports = Ports::find_free(std::process::id() + 100 * salt).expect("free ports");
     let folder = std::env::temp_dir().join(format!("fennelgauge-hollow-{}-{salt}", std::process::id()));
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let tier = Tier {
         ports,
-        folder: folder.clone(),
-        platform: listener.local_addr()?,
-        core: 3,
-        losses: 1,
-        relayed: false,
+        directory: folder.clone(),
+        platform_address: listener.local_addr()?,
+        core_machines: 3,
+        tolerated_losses: 1,
+        uses_relays: false,
     };
     start_platform(listener, Rc::new(Platform::default()));
     for machine in 0..3 {
-        let settings = Tier::read(&tier.core_settings(machine))?;
+        let settings = Tier::parse_settings(&tier.core_settings(machine))?;
         spawn_local(async move { process::run(settings).await });
     }
     let client = awc::Client::default();
     put(&client, &tier, 0, 1).await;
     let memory_before = status_kb("VmRSS");
-    let seeds = Tier::read(&tier.core_settings(0))?.seed_peers();
+    let seeds = Tier::parse_settings(&tier.core_settings(0))?.seed_peers();
     let followers: Vec<Rc<Known>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
     wait_for(&followers, 1).await;
     let mut times: Vec<f64> = Vec::new();
@@ -89,9 +89,9 @@
 
 async fn put(client: &awc::Client, tier: &Tier, base: u64, generation: u64) {
     loop {
-        let call = client.post(format!("http://{}/-/Config.Put", tier.control(0)));
+        let call = client.post(format!("http://{}/-/Config.Put", tier.control_address(0)));
         let call = call.insert_header(("X-Fennelgauge-Base-Version", base.to_string()));
-        match call.timeout(Duration::from_secs(2)).send_json(&configuration(generation)).await {
+        match call.timeout(Duration::from_secs(2)).send_json(&sample_configuration(generation)).await {
             Ok(answer) if answer.status().is_success() => return,
             _ => sleep(Duration::from_millis(100)).await,
         }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,6 +5,6 @@
 mod server;
 mod tier;
 
-pub use platform::{listing, start_platform, Platform};
-pub use server::{start_server, ModelServer, Observer, EVENTS};
-pub use tier::{configuration, Ports, Tier, KEY};
+pub use platform::{instance_entry, start_platform, Platform};
+pub use server::{start_model_server, ModelServer, Observer, EVENTS_PER_RESPONSE};
+pub use tier::{sample_configuration, Ports, Tier, API_KEY};
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -9,7 +9,7 @@
 use fennelgauge_http::until_stopped;
 use fennelgauge_settings::{Program, SETTINGS_VARIABLE};
 use fennelgauge_standins::{
-    configuration, listing, start_platform, start_server, Platform, Ports, Tier, KEY,
+    instance_entry, sample_configuration, start_model_server, start_platform, Platform, Ports, Tier, API_KEY,
 };
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
@@ -47,21 +47,21 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).with_context(|| format!("{} cannot be made", folder.display()))?;
     let folder = folder.canonicalize()?;
-    let ports = Ports::free(std::process::id()).context("no free ports on 127.0.0.1")?;
+    let ports = Ports::find_free(std::process::id()).context("no free ports on 127.0.0.1")?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let tier = Tier {
         ports,
-        folder,
-        platform: listener.local_addr()?,
-        core: MACHINES_OF_THE_CORE,
-        losses: 1,
-        relayed: false,
+        directory: folder,
+        platform_address: listener.local_addr()?,
+        core_machines: MACHINES_OF_THE_CORE,
+        tolerated_losses: 1,
+        uses_relays: false,
     };
     let platform = Rc::new(Platform::default());
     start_platform(listener, platform.clone());
     for id in ["i-1", "i-2"] {
-        let (address, _) = start_server(id).await?;
-        platform.servers.borrow_mut().push(listing(id, "model", address, "zone-0"));
+        let (address, _) = start_model_server(id).await?;
+        platform.instances.borrow_mut().push(instance_entry(id, "model", address, "zone-0"));
     }
     let mut children = Vec::new();
     for machine in 0..MACHINES_OF_THE_CORE {
@@ -71,7 +71,7 @@
         children.push(start(&tier, &programs, "fennelgauge-control-plane", &tier.store_settings(machine))?);
     }
     for machine in 0..DATA_PLANES {
-        children.push(start(&tier, &programs, "fennelgauge-data-plane", &tier.data_settings(machine))?);
+        children.push(start(&tier, &programs, "fennelgauge-data-plane", &tier.data_plane_settings(machine))?);
     }
     put_configuration(&tier).await;
     explain(&tier);
@@ -83,8 +83,8 @@
 }
 
 fn start(tier: &Tier, programs: &std::path::Path, program: &str, settings: &str) -> anyhow::Result<Child> {
-    let node = Tier::read(settings)?.node;
-    let file = tier.folder.join(format!("{node}.toml"));
+    let node = Tier::parse_settings(settings)?.node;
+    let file = tier.directory.join(format!("{node}.toml"));
     std::fs::write(&file, settings)?;
     let mut command = Command::new(programs.join(program));
     command.arg("run").env(SETTINGS_VARIABLE, &file).kill_on_drop(true);
@@ -93,9 +93,9 @@
 
 async fn put_configuration(tier: &Tier) {
     let client = awc::Client::default();
-    let body = configuration(1);
+    let body = sample_configuration(1);
     loop {
-        let put = client.post(format!("http://{}/-/Config.Put", tier.control(0)));
+        let put = client.post(format!("http://{}/-/Config.Put", tier.control_address(0)));
         let put = put.insert_header(("X-Fennelgauge-Base-Version", "0")).timeout(Duration::from_secs(2));
         match put.send_json(&body).await {
             Ok(answer) if answer.status().is_success() => return,
@@ -105,9 +105,9 @@
 }
 
 fn explain(tier: &Tier) {
-    println!("clients:   http://{} and http://{}", tier.front(0), tier.front(1));
-    println!("operator:  http://{}/-/Config.Get", tier.control(0));
-    println!("a request: curl -i http://{}/stream/1 -H 'Host: tier.example' \\", tier.front(0));
-    println!("             -H 'Authorization: Bearer {KEY}' -H 'X-Fennelgauge-Request-Id: 1' -d prompt");
+    println!("clients:   http://{} and http://{}", tier.front_address(0), tier.front_address(1));
+    println!("operator:  http://{}/-/Config.Get", tier.control_address(0));
+    println!("a request: curl -i http://{}/stream/1 -H 'Host: tier.example' \\", tier.front_address(0));
+    println!("             -H 'Authorization: Bearer {API_KEY}' -H 'X-Fennelgauge-Request-Id: 1' -d prompt");
     println!("Ctrl-C ends it.");
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -18,15 +18,15 @@
 /// What the platform lists and what it was told.
 #[derive(Default)]
 pub struct Platform {
-    pub servers: RefCell<Vec<Value>>,
+    pub instances: RefCell<Vec<Value>>,
     /// Accepted usage reports: window, counts and fence.
-    pub usage: RefCell<Vec<(u64, Value, u64)>>,
+    pub usage_reports: RefCell<Vec<(u64, Value, u64)>>,
     /// While it is silent, calls get no answer.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
 }
 
 /// An entry of the list.
-pub fn listing(id: &str, service: &str, address: SocketAddr, zone: &str) -> Value {
+pub fn instance_entry(id: &str, service: &str, address: SocketAddr, zone: &str) -> Value {
     json!({
         "id": id, "backend": service, "addr": address.to_string(), "zone": zone, "generation": "v1",
         "slots": 16, "state": "ready", "cold_ms": 0,
@@ -44,14 +44,14 @@
 }
 
 async fn speaks(platform: &Platform) {
-    while platform.silent.get() {
+    while platform.unresponsive.get() {
         sleep(LOOK_AGAIN).await;
     }
 }
 
 async fn instances(platform: Data<Rc<Platform>>) -> HttpResponse {
     speaks(&platform).await;
-    let servers = platform.servers.borrow().clone();
+    let servers = platform.instances.borrow().clone();
     HttpResponse::Ok().json(json!({ "instances": servers, "next_token": null }))
 }
 
@@ -59,7 +59,7 @@
     speaks(&platform).await;
     let fence = request.headers().get("x-fennelgauge-fencing-token");
     let fence: u64 = fence.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0);
-    let mut accepted = platform.usage.borrow_mut();
+    let mut accepted = platform.usage_reports.borrow_mut();
     if accepted.iter().any(|(_, _, earlier)| *earlier > fence) {
         return HttpResponse::Conflict().finish();
     }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 /// Events of a whole answer.
-pub const EVENTS: u64 = 5;
+pub const EVENTS_PER_RESPONSE: u64 = 5;
 /// Events before a stream on `/break/` ends.
 const EVENTS_BEFORE_BREAK: u64 = 2;
 const BREAK_AFTER: Duration = Duration::from_millis(30);
@@ -28,10 +28,10 @@
 /// Told of each run as it happens.
 pub trait Observer {
     /// A request begins to run, after an event that it continues from (0: from the start).
-    fn began(&self, id: &str, after: u64);
+    fn run_started(&self, id: &str, after: u64);
 
     /// A run has given all its events: their data, from the one after which it continued.
-    fn done(&self, id: &str, after: u64, events: &[String]);
+    fn run_completed(&self, id: &str, after: u64, events: &[String]);
 }
 
 /// What a server has seen.
@@ -41,12 +41,12 @@
     /// Of each request that ran: its id, its tenant and the event it continues from.
     pub runs: RefCell<Vec<(String, String, u64)>>,
     /// Whether a key was passed on to it.
-    pub saw_key: RefCell<bool>,
+    pub received_api_key: RefCell<bool>,
     pub observer: RefCell<Option<Rc<dyn Observer>>>,
 }
 
 /// Starts a server; gives its address.
-pub async fn start_server(id: &str) -> anyhow::Result<(SocketAddr, Rc<ModelServer>)> {
+pub async fn start_model_server(id: &str) -> anyhow::Result<(SocketAddr, Rc<ModelServer>)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let server = Rc::new(ModelServer { id: id.to_owned(), ..ModelServer::default() });
@@ -67,7 +67,7 @@
         return HttpResponse::build(StatusCode::MISDIRECTED_REQUEST).finish();
     }
     if headers.contains_key("authorization") {
-        *server.saw_key.borrow_mut() = true;
+        *server.received_api_key.borrow_mut() = true;
     }
     let after: u64 = text(headers, "last-event-id").parse().unwrap_or(0);
     let tenant = text(headers, "x-fennelgauge-tenant").to_owned();
@@ -75,7 +75,7 @@
     let run = server.runs.borrow().len();
     let observer = server.observer.borrow().clone();
     if let Some(observer) = &observer {
-        observer.began(&id, after);
+        observer.run_started(&id, after);
     }
     let mut answer = HttpResponse::Ok();
     answer.insert_header(("X-Fennelgauge-Request-Id", id.clone()));
@@ -88,10 +88,11 @@
         return answer.status(StatusCode::INTERNAL_SERVER_ERROR).finish();
     }
     let breaks = path.contains("/break/") && after == 0;
-    let last = if breaks { EVENTS_BEFORE_BREAK } else { EVENTS };
+    let last = if breaks { EVENTS_BEFORE_BREAK } else { EVENTS_PER_RESPONSE };
     let pause = if path.contains("/slow/") { SLOW_EVENT } else { Duration::ZERO };
     let of_run = if path.contains("/run/") { format!(" run {}.{run}", server.id) } else { String::new() };
-    let data: Vec<String> = (after + 1..=EVENTS).map(|event| format!("{id} {event}{of_run}")).collect();
+    let data: Vec<String> =
+        (after + 1..=EVENTS_PER_RESPONSE).map(|event| format!("{id} {event}{of_run}")).collect();
     let events = stream::unfold(after + 1, move |event| {
         let (id, data, observer) = (id.clone(), data.clone(), observer.clone());
         async move {
@@ -99,7 +100,7 @@
                 // What was written before leaves before the break.
                 sleep(BREAK_AFTER).await;
                 if let Some(observer) = observer.filter(|_| !breaks) {
-                    observer.done(&id, after, &data);
+                    observer.run_completed(&id, after, &data);
                 }
                 return (breaks && event == last + 1)
                     .then(|| (Err(std::io::Error::other("breaks off")), u64::MAX));
--- a/crates/standins/tests/whole.rs
+++ b/crates/standins/tests/whole.rs
@@ -7,7 +7,8 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use fennelgauge_standins::{
-    configuration, listing, start_platform, start_server, ModelServer, Platform, Ports, Tier, KEY,
+    instance_entry, sample_configuration, start_model_server, start_platform, ModelServer, Platform, Ports,
+    Tier, API_KEY,
 };
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
@@ -33,40 +34,45 @@
 impl Whole {
     /// Three machines of the core, three stores, one data plane, two servers, the first configuration taken.
     async fn start(salt: u32) -> Self {
-        let ports =
-            Ports::free(std::process::id().wrapping_mul(7).wrapping_add(salt * 150)).expect("free ports");
+        let ports = Ports::find_free(std::process::id().wrapping_mul(7).wrapping_add(salt * 150))
+            .expect("free ports");
         let folder = std::env::temp_dir().join(format!("fennelgauge-whole-{}-{salt}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let tier = Tier {
             ports,
-            folder,
-            platform: listener.local_addr().expect("an address"),
-            core: 3,
-            losses: 1,
-            relayed: false,
+            directory: folder,
+            platform_address: listener.local_addr().expect("an address"),
+            core_machines: 3,
+            tolerated_losses: 1,
+            uses_relays: false,
         };
         let platform = Rc::new(Platform::default());
         start_platform(listener, platform.clone());
         let mut servers = Vec::new();
         for id in ["i-1", "i-2"] {
-            let (address, server) = start_server(id).await.expect("a server");
-            platform.servers.borrow_mut().push(listing(id, "model", address, "zone-0"));
+            let (address, server) = start_model_server(id).await.expect("a server");
+            platform.instances.borrow_mut().push(instance_entry(id, "model", address, "zone-0"));
             servers.push(server);
         }
         let core = (0..3).map(|machine| control(tier.core_settings(machine))).collect();
         let stores = (0..3).map(|machine| control(tier.store_settings(machine))).collect();
-        data(tier.data_settings(0));
+        data(tier.data_plane_settings(0));
         let whole = Self { tier, platform, servers, core, stores, client: awc::Client::default() };
-        whole.order("Put", 0, &configuration(1)).await;
-        whole.until("ready", || async { whole.get(whole.tier.ready(0), "/-/ready").await.0 == 200 }).await;
+        whole.order("Put", 0, &sample_configuration(1)).await;
+        whole
+            .until("ready", || async {
+                whole.get(whole.tier.readiness_address(0), "/-/ready").await.0 == 200
+            })
+            .await;
         whole
     }
 
     /// What an operator is told of a group.
     async fn group(&self, group: u16) -> Option<Value> {
         for machine in 0..3 {
-            let (status, body) = self.get(self.tier.control(machine), &format!("/-/Group.Get/{group}")).await;
+            let (status, body) =
+                self.get(self.tier.control_address(machine), &format!("/-/Group.Get/{group}")).await;
             if status == 200 {
                 return serde_json::from_slice(&body).ok();
             }
@@ -97,7 +103,8 @@
         let order = json!({ "view": report["view"], "holders": holders, "force": force });
         let began = Instant::now();
         for machine in (0..3).cycle() {
-            let url = format!("http://{}/-/Group.GiveUp/{}", self.tier.control(machine), report["group"]);
+            let url =
+                format!("http://{}/-/Group.GiveUp/{}", self.tier.control_address(machine), report["group"]);
             let call = self.client.post(url).timeout(Duration::from_secs(3));
             assert!(began.elapsed() < PATIENCE, "an order takes too long");
             // Whoever is silent may have carried it out: sent again, it is answered alike.
@@ -117,7 +124,7 @@
             let _ = store.await;
         }
         for machine in 0..3 {
-            std::fs::remove_dir_all(self.tier.folder.join(format!("store-{machine}"))).expect("a disk");
+            std::fs::remove_dir_all(self.tier.directory.join(format!("store-{machine}"))).expect("a disk");
             let settings = self.tier.store_settings(machine).replace("bootstrap = true", "bootstrap = false");
             self.stores.push(control(settings));
         }
@@ -137,7 +144,7 @@
         let began = Instant::now();
         for attempt in 0.. {
             assert!(began.elapsed() < PATIENCE, "{kind} takes too long");
-            let url = format!("http://{}/-/Config.{kind}", self.tier.control(attempt % 3));
+            let url = format!("http://{}/-/Config.{kind}", self.tier.control_address(attempt % 3));
             let call = self.client.post(url).insert_header(("X-Fennelgauge-Base-Version", base.to_string()));
             match call
                 .timeout(Duration::from_secs(1))
@@ -153,7 +160,7 @@
     }
 
     async fn refused_order(&self, base: u64, body: &Value) -> u16 {
-        let url = format!("http://{}/-/Config.Put", self.tier.control(1));
+        let url = format!("http://{}/-/Config.Put", self.tier.control_address(1));
         let call = self.client.post(url).insert_header(("X-Fennelgauge-Base-Version", base.to_string()));
         call.send_json(body).await.expect("an answer").status().as_u16()
     }
@@ -165,7 +172,7 @@
     }
 
     async fn post(&self, path: &str, id: &str, body: Vec<u8>) -> (u16, Vec<u8>) {
-        let call = self.client.post(format!("http://{}{path}", self.tier.front(0)));
+        let call = self.client.post(format!("http://{}{path}", self.tier.front_address(0)));
         let call = call.insert_header(("Host", "tier.example")).insert_header(("Authorization", bearer()));
         let call = call.insert_header(("X-Fennelgauge-Request-Id", id)).timeout(Duration::from_secs(5));
         read(call.insert_header(("X-Fennelgauge-Request-Deadline", "4000")).send_body(body).await).await
@@ -192,7 +199,7 @@
 
     async fn results(&self, id: &str, start: usize) -> Option<Value> {
         let path = format!("/-/lots/{id}?start_after={start}");
-        let (status, body) = self.get(self.tier.front(0), &path).await;
+        let (status, body) = self.get(self.tier.front_address(0), &path).await;
         (status == 200).then(|| serde_json::from_slice(&body).expect("JSON"))
     }
 
@@ -214,12 +221,12 @@
 
 impl Drop for Whole {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.tier.folder);
+        let _ = std::fs::remove_dir_all(&self.tier.directory);
     }
 }
 
 fn bearer() -> String {
-    format!("Bearer {KEY}")
+    format!("Bearer {API_KEY}")
 }
 
 /// Runs a process with a set of tasks of its own: aborting the handle ends all of them at once, as a kill does.
@@ -230,11 +237,11 @@
 }
 
 fn control(settings: String) -> JoinHandle<()> {
-    process(fennelgauge_control_plane::process::run(Tier::read(&settings).expect("settings")))
+    process(fennelgauge_control_plane::process::run(Tier::parse_settings(&settings).expect("settings")))
 }
 
 fn data(settings: String) -> JoinHandle<()> {
-    process(fennelgauge_data_plane::process::run(Tier::read(&settings).expect("settings")))
+    process(fennelgauge_data_plane::process::run(Tier::parse_settings(&settings).expect("settings")))
 }
 
 async fn read<E: std::fmt::Debug>(
@@ -262,7 +269,7 @@
         assert_eq!((status, String::from_utf8(body).unwrap()), (200, events("r-1")));
         let runs: Vec<_> = whole.servers.iter().flat_map(|server| server.runs.borrow().clone()).collect();
         assert_eq!(runs, [("r-1".to_owned(), "tenant".to_owned(), 0)]);
-        assert!(whole.servers.iter().all(|server| !*server.saw_key.borrow()), "the key stays here");
+        assert!(whole.servers.iter().all(|server| !*server.received_api_key.borrow()), "the key stays here");
         assert_eq!(whole.post("/stream/fail/a", "r-2", vec![]).await.0, 500, "the server's own answer");
         assert_eq!(whole.post("/nowhere/a", "r-3", vec![]).await.0, 404);
 
@@ -271,8 +278,8 @@
         let continued = whole.servers.iter().flat_map(|server| server.runs.borrow().clone());
         assert!(continued.into_iter().any(|(id, _, after)| id == "r-4" && after == 2));
 
-        whole.until("usage", || async { !whole.platform.usage.borrow().is_empty() }).await;
-        let (_, counts, _) = whole.platform.usage.borrow()[0].clone();
+        whole.until("usage", || async { !whole.platform.usage_reports.borrow().is_empty() }).await;
+        let (_, counts, _) = whole.platform.usage_reports.borrow()[0].clone();
         assert!(counts["tenant"].as_u64().is_some_and(|count| count >= 1), "{counts}");
     });
 }
@@ -281,7 +288,7 @@
 fn a_patch_is_in_force_everywhere_and_survives_the_loss_of_a_member() {
     local(async {
         let whole = Whole::start(2).await;
-        let mut route = configuration(1)["routes"][0].clone();
+        let mut route = sample_configuration(1)["routes"][0].clone();
         route["name"] = "added".into();
         route["path_prefix"] = "/added/".into();
         let patch =
@@ -290,17 +297,19 @@
         whole.order("Patch", 1, &patch).await;
         whole.until("added", || async { whole.post("/added/a", "p-1", vec![]).await.0 == 200 }).await;
         assert_eq!(whole.post("/stream/a", "p-2", vec![]).await.0, 404);
-        assert_eq!(whole.refused_order(1, &configuration(5)).await, 412, "another version is current");
-        assert_eq!(whole.refused_order(3, &configuration(3)).await, 400, "its number is not above");
+        assert_eq!(whole.refused_order(1, &sample_configuration(5)).await, 412, "another version is current");
+        assert_eq!(whole.refused_order(3, &sample_configuration(3)).await, 400, "its number is not above");
 
         whole.core[0].abort();
         whole
-            .until("lost", || async { tokio::net::TcpStream::connect(whole.tier.control(0)).await.is_err() })
+            .until("lost", || async {
+                tokio::net::TcpStream::connect(whole.tier.control_address(0)).await.is_err()
+            })
             .await;
         let again = json!({ "generation": 4, "upsert": {}, "remove": { "routes": ["added"] } });
         whole.order("Patch", 3, &again).await;
         whole.until("removed", || async { whole.post("/added/a", "p-3", vec![]).await.0 == 404 }).await;
-        let (status, body) = whole.get(whole.tier.control(1), "/-/Config.Get").await;
+        let (status, body) = whole.get(whole.tier.control_address(1), "/-/Config.Get").await;
         let read: Value = serde_json::from_slice(&body).unwrap_or_default();
         assert_eq!((status, &read["generation"]), (200, &json!(4)));
     });
@@ -325,8 +334,8 @@
 
         assert_eq!(whole.submit("job-2", &[("/batch/1", 2_000)]).await, 429, "more than may be queued");
         assert_eq!(whole.submit("job-3", &[("/elsewhere/1", 1)]).await, 400);
-        assert_eq!(whole.get(whole.tier.front(0), "/-/lots/none").await.0, 404);
-        let end = whole.client.delete(format!("http://{}/-/lots/job-1", whole.tier.front(0)));
+        assert_eq!(whole.get(whole.tier.front_address(0), "/-/lots/none").await.0, 404);
+        let end = whole.client.delete(format!("http://{}/-/lots/job-1", whole.tier.front_address(0)));
         let end = end.insert_header(("Host", "tier.example")).insert_header(("Authorization", bearer()));
         assert_eq!(read(end.send().await).await.0, 200);
         assert_eq!(whole.all_results("job-1").await, results, "what is listed stays");
@@ -348,7 +357,7 @@
 
         whole.lose_all_stores().await;
         let path = "/-/lots/job-1?start_after=0";
-        let front = whole.tier.front(0);
+        let front = whole.tier.front_address(0);
         whole
             .until("silence", || async {
                 let report = whole.group(group).await.unwrap_or_default();
