--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -68,8 +68,8 @@
 async fn answer(answering: Answering, request: Request) -> Reply {
     let Answering { core, collector, home, began } = answering;
     match request {
-        Request::ServerLoad(report) => match home.borrow_mut().report(report, began.elapsed()) {
-            Ok(sums) => Reply::ServerLoad(sums),
+        Request::ServerStats(report) => match home.borrow_mut().report(report, began.elapsed()) {
+            Ok(sums) => Reply::ServerStats(sums),
             Err(reason) => {
                 log::warn!("{reason}");
                 Reply::Unsupported
--- a/crates/upstream/src/share.rs
+++ b/crates/upstream/src/share.rs
@@ -83,8 +83,8 @@
         sequence += 1;
         let report = Report { life, sequence, uses: pool.uses() };
         let told = report.uses.len();
-        match caller.call(home, Request::ServerLoad(report), ANSWER_TIMEOUT).await {
-            Ok(Reply::ServerLoad(sums)) => {
+        match caller.call(home, Request::ServerStats(report), ANSWER_TIMEOUT).await {
+            Ok(Reply::ServerStats(sums)) => {
                 pool.take_sums(&sums);
                 pause = pause_for(told + sums.uses.len());
             }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -31,7 +31,7 @@
     /// A store is there, and what it tells of its groups; to the head of the core.
     StoreHeartbeat(StoreHeartbeat),
     /// The servers that a process uses, to its home.
-    ServerLoad(Report),
+    ServerStats(Report),
 }
 
 /// What is answered.
@@ -41,7 +41,7 @@
     Core(CoreReply),
     Store(StoreReply),
     /// The servers that the home's other reporters use.
-    ServerLoad(Sums),
+    ServerStats(Sums),
     /// Taken notice of.
     Acknowledged,
     /// The asked process does not do that.
