--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -139,7 +139,7 @@
             match call.await {
                 Ok(Reply::Store(StoreReply::NotAccepted | StoreReply::Undetermined))
                 | Ok(Reply::Unsupported) => {}
-                Ok(Reply::Store(StoreReply::OutcomeUnknown)) | Err(CallError::NoAnswer(_)) => arrived = true,
+                Ok(Reply::Store(StoreReply::OutcomeUnknown)) | Err(CallError::NoReply(_)) => arrived = true,
                 Ok(Reply::Store(reply)) => return Asked::Answered(reply),
                 Ok(_) | Err(CallError::NotSent(_)) => {}
             }
--- a/crates/wire/src/calls.rs
+++ b/crates/wire/src/calls.rs
@@ -1,5 +1,6 @@
-//! The calling side: one connection a peer, opened when needed, given up when a call on it finds no answer and nothing
-//! else came meanwhile. An answer that has begun to come is waited for longer.
+//! The client side: one connection per peer, opened on the first call to it. A connection is closed when a call on it times
+//! out and no reply to any other call has arrived since that call began. A reply of which a part has arrived extends the
+//! time limit of the call.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,98 +16,108 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::frame::{framed, read_frame};
+use crate::frame::{encode_frame, read_frame};
 use crate::messages::{CallMessage, Reply, Request};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// An answer of which something came within this time is still coming.
-const STILL_COMING: Duration = Duration::from_millis(400);
-/// It is waited for so many times as long as others at most.
-const LONGEST_TIMES: u32 = 5;
+/// A partially received reply counts as still arriving for this long after its latest bytes.
+const PARTIAL_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Upper bound of a call's duration while its reply keeps arriving, as a multiple of the call's time limit.
+const MAX_TIME_LIMIT_MULTIPLE: u32 = 5;
 
-/// Why a call has no answer.
+/// Why a call has no reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The peer has not got the request.
-    #[error("{0} cannot be reached: check that its process runs and the link is up")]
+    /// The request did not reach the peer, so it was certainly not executed.
+    #[error("{0} could not be reached: check that its process is running and the network is up")]
     NotSent(SocketAddr),
-    /// The peer may have got the request.
-    #[error("{0} gave no answer: what was asked may have happened")]
-    NoAnswer(SocketAddr),
+    /// The request was handed to the connection and no reply came: the peer may have executed it.
+    #[error("no reply from {0}: the request may have been executed")]
+    NoReply(SocketAddr),
 }
 
-/// What was sent since the beginning.
+/// Totals of a [`Caller`] and all its clones since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallStats {
+    /// Requests handed to a connection.
     pub calls: u64,
+    /// Bytes of these requests, with their frame headers.
     pub bytes: u64,
 }
 
-/// Calls peers.
+/// Calls other processes. Clones share their connections. Must be used within a `LocalSet`.
 #[derive(Clone, Default)]
 pub struct Caller {
     connections: Rc<RefCell<HashMap<SocketAddr, Rc<Connection>>>>,
-    opening: Rc<RefCell<HashMap<SocketAddr, Rc<tokio::sync::Mutex<()>>>>>,
-    /// The address that calls leave from; none where the system may choose.
-    source: Option<IpAddr>,
+    /// Lock per peer that keeps concurrent calls from opening more than one connection to it.
+    connect_locks: Rc<RefCell<HashMap<SocketAddr, Rc<tokio::sync::Mutex<()>>>>>,
+    /// Local IP address of outgoing connections; `None` leaves the choice to the operating system.
+    source_ip: Option<IpAddr>,
     stats: Rc<Cell<CallStats>>,
 }
 
 struct Connection {
+    /// Encoded requests for the writer; an empty frame tells it to stop.
     outgoing: mpsc::UnboundedSender<Vec<u8>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
-    next: Cell<u64>,
-    heard: Cell<Instant>,
-    /// Since when nothing more came of an answer that has begun; none between answers.
-    coming: Rc<Cell<Option<Instant>>>,
+    /// Calls without a reply, by call id.
+    pending: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
+    next_call_id: Cell<u64>,
+    /// When the latest complete reply arrived; when the connection was opened if there was none.
+    last_reply_at: Cell<Instant>,
+    /// When the latest bytes of a partially received reply arrived; `None` between replies.
+    partial_reply_at: Rc<Cell<Option<Instant>>>,
     closed: Cell<bool>,
 }
 
 impl Caller {
-    /// Calls that leave from an address.
-    pub fn with_source(source: Option<IpAddr>) -> Self {
-        Self { source, ..Self::default() }
+    /// Creates a caller whose connections are bound to the local address `source_ip`, if one is given.
+    pub fn with_source(source_ip: Option<IpAddr>) -> Self {
+        Self { source_ip, ..Self::default() }
     }
 
-    /// What was sent by this and all its clones.
+    /// Returns the totals of this caller and all its clones.
     pub fn stats(&self) -> CallStats {
         self.stats.get()
     }
 
-    /// Asks a peer, for at most `within`.
+    /// Sends a request to a peer and waits for the reply: at most for `time_limit`, or for five times as long while parts
+    /// of a reply keep arriving.
     pub async fn call(
         &self,
         peer: SocketAddr,
         request: Request,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Reply, CallError> {
-        let began = Instant::now();
-        let connection = match timeout(within, self.connection(peer)).await {
+        let started = Instant::now();
+        let connection = match timeout(time_limit, self.get_or_connect(peer)).await {
             Ok(Some(connection)) => connection,
             _ => return Err(CallError::NotSent(peer)),
         };
-        let (number, answer, bytes) = connection.send(request).map_err(|()| CallError::NotSent(peer))?;
-        let CallStats { calls, bytes: before } = self.stats.get();
-        self.stats.set(CallStats { calls: calls + 1, bytes: before + bytes as u64 });
-        match connection.answered(answer, began, within).await {
+        let (call_id, reply, frame_bytes) =
+            connection.send(request).map_err(|()| CallError::NotSent(peer))?;
+        let CallStats { calls, bytes } = self.stats.get();
+        self.stats.set(CallStats { calls: calls + 1, bytes: bytes + frame_bytes as u64 });
+        match connection.wait_for_reply(reply, started, time_limit).await {
             Some(Ok(reply)) => Ok(reply),
-            Some(Err(_)) => Err(CallError::NoAnswer(peer)),
+            Some(Err(_)) => Err(CallError::NoReply(peer)),
             None => {
-                connection.waiting.borrow_mut().remove(&number);
-                if connection.heard.get() < began {
-                    self.give_up(peer, &connection);
+                connection.pending.borrow_mut().remove(&call_id);
+                if connection.last_reply_at.get() < started {
+                    self.close(peer, &connection);
                 }
-                Err(CallError::NoAnswer(peer))
+                Err(CallError::NoReply(peer))
             }
         }
     }
 
-    async fn connection(&self, peer: SocketAddr) -> Option<Rc<Connection>> {
+    /// Returns the open connection to a peer, or opens one; `None` if the peer can't be connected to.
+    async fn get_or_connect(&self, peer: SocketAddr) -> Option<Rc<Connection>> {
         if let Some(open) = self.open_connection(peer) {
             return Some(open);
         }
-        let turn = self.opening.borrow_mut().entry(peer).or_default().clone();
-        let _turn = turn.lock().await;
+        let connect_lock = self.connect_locks.borrow_mut().entry(peer).or_default().clone();
+        let _guard = connect_lock.lock().await;
+        // Another call may have connected while this one waited for the lock.
         if let Some(open) = self.open_connection(peer) {
             return Some(open);
         }
@@ -118,9 +129,9 @@
     }
 
     async fn connect(&self, peer: SocketAddr) -> std::io::Result<TcpStream> {
-        let Some(source) = self.source else { return TcpStream::connect(peer).await };
-        let socket = if source.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        socket.bind(SocketAddr::new(source, 0))?;
+        let Some(source_ip) = self.source_ip else { return TcpStream::connect(peer).await };
+        let socket = if source_ip.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+        socket.bind(SocketAddr::new(source_ip, 0))?;
         socket.connect(peer).await
     }
 
@@ -128,99 +139,106 @@
         self.connections.borrow().get(&peer).filter(|connection| !connection.closed.get()).cloned()
     }
 
+    /// Starts the task that reads and writes a new connection until either direction fails.
     fn start(&self, peer: SocketAddr, stream: TcpStream) -> Rc<Connection> {
         let (read, write) = stream.into_split();
-        let (outgoing, queue) = mpsc::unbounded_channel();
+        let (outgoing, frames) = mpsc::unbounded_channel();
         let connection = Rc::new(Connection {
             outgoing,
-            waiting: RefCell::new(HashMap::new()),
-            next: Cell::new(0),
-            heard: Cell::new(Instant::now()),
-            coming: Rc::default(),
+            pending: RefCell::new(HashMap::new()),
+            next_call_id: Cell::new(0),
+            last_reply_at: Cell::new(Instant::now()),
+            partial_reply_at: Rc::default(),
             closed: Cell::new(false),
         });
         let caller = self.clone();
-        let reading = connection.clone();
+        let task_connection = connection.clone();
         tokio::task::spawn_local(async move {
             tokio::select! {
-                () = read_replies(read, &reading) => {}
-                () = write_frames(write, queue) => {}
+                () = read_replies(read, &task_connection) => {}
+                () = write_frames(write, frames) => {}
             }
-            caller.give_up(peer, &reading);
+            caller.close(peer, &task_connection);
         });
         connection
     }
 
-    fn give_up(&self, peer: SocketAddr, connection: &Rc<Connection>) {
+    /// Closes a connection; its pending calls fail with [`CallError::NoReply`].
+    fn close(&self, peer: SocketAddr, connection: &Rc<Connection>) {
         connection.closed.set(true);
-        connection.waiting.borrow_mut().clear();
+        connection.pending.borrow_mut().clear();
         let _ = connection.outgoing.send(Vec::new());
         let mut connections = self.connections.borrow_mut();
-        if connections.get(&peer).is_some_and(|present| Rc::ptr_eq(present, connection)) {
+        if connections.get(&peer).is_some_and(|current| Rc::ptr_eq(current, connection)) {
             connections.remove(&peer);
         }
     }
 }
 
 impl Connection {
-    /// The answer, or none when the time is up and nothing is coming.
-    async fn answered(
+    /// Waits for a reply; `None` when the time is up. The time is extended while a reply, to this or another call, is
+    /// partially received, since replies arrive one after the other.
+    async fn wait_for_reply(
         &self,
-        mut answer: oneshot::Receiver<Reply>,
-        began: Instant,
-        within: Duration,
+        mut reply: oneshot::Receiver<Reply>,
+        started: Instant,
+        time_limit: Duration,
     ) -> Option<Result<Reply, oneshot::error::RecvError>> {
-        let mut until = began + within;
+        let mut deadline = started + time_limit;
         loop {
-            if let Ok(answered) = timeout_at(until, &mut answer).await {
-                return Some(answered);
+            if let Ok(received) = timeout_at(deadline, &mut reply).await {
+                return Some(received);
             }
-            let still_coming = self.coming.get().map(|at| at + STILL_COMING);
-            until = still_coming.filter(|next| *next > until)?.min(began + within * LONGEST_TIMES);
-            if until <= Instant::now() {
+            let extended = self.partial_reply_at.get().map(|at| at + PARTIAL_REPLY_TIMEOUT);
+            deadline = extended
+                .filter(|extended| *extended > deadline)?
+                .min(started + time_limit * MAX_TIME_LIMIT_MULTIPLE);
+            if deadline <= Instant::now() {
                 return None;
             }
         }
     }
 
-    /// Hands a call over; gives its number, its answer to come, and its bytes.
+    /// Queues a request for the writer. Returns its call id, the receiver of its reply and the size of its frame in bytes;
+    /// errs if the connection's task has ended.
     fn send(&self, request: Request) -> Result<(u64, oneshot::Receiver<Reply>, usize), ()> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let frame = framed(&CallMessage { call_id: number, body: request });
-        let bytes = frame.len();
-        let (sender, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, sender);
+        let call_id = self.next_call_id.get();
+        self.next_call_id.set(call_id + 1);
+        let frame = encode_frame(&CallMessage { call_id, body: request });
+        let frame_bytes = frame.len();
+        let (sender, reply) = oneshot::channel();
+        self.pending.borrow_mut().insert(call_id, sender);
         self.outgoing.send(frame).map_err(|_| ())?;
-        Ok((number, answer, bytes))
+        Ok((call_id, reply, frame_bytes))
     }
 }
 
+/// Passes replies to their pending calls until the connection fails. A reply to a call that was abandoned is dropped.
 async fn read_replies(read: OwnedReadHalf, connection: &Connection) {
-    let mut read = BufReader::new(Noting { read, coming: connection.coming.clone() });
+    let mut read = BufReader::new(ActivityReader { read, last_read_at: connection.partial_reply_at.clone() });
     loop {
         match read_frame::<CallMessage<Reply>>(&mut read).await {
             Ok(reply) => {
                 if read.buffer().is_empty() {
-                    connection.coming.set(None);
+                    connection.partial_reply_at.set(None);
                 }
-                connection.heard.set(Instant::now());
-                if let Some(waiting) = connection.waiting.borrow_mut().remove(&reply.call_id) {
-                    let _ = waiting.send(reply.body);
+                connection.last_reply_at.set(Instant::now());
+                if let Some(pending) = connection.pending.borrow_mut().remove(&reply.call_id) {
+                    let _ = pending.send(reply.body);
                 }
             }
-            Err(reason) => return log::debug!("calls: {reason}"),
+            Err(error) => return log::debug!("closing an outgoing connection: {error}"),
         }
     }
 }
 
-/// Notes when something came.
-struct Noting<R> {
+/// Records when bytes were last read.
+struct ActivityReader<R> {
     read: R,
-    coming: Rc<Cell<Option<Instant>>>,
+    last_read_at: Rc<Cell<Option<Instant>>>,
 }
 
-impl<R: AsyncRead + Unpin> AsyncRead for Noting<R> {
+impl<R: AsyncRead + Unpin> AsyncRead for ActivityReader<R> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -228,21 +246,22 @@
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.read).poll_read(context, buffer);
         if polled.is_ready() {
-            self.coming.set(Some(Instant::now()));
+            self.last_read_at.set(Some(Instant::now()));
         }
         polled
     }
 }
 
-/// Writes frames until the connection fails or an empty frame asks for its end.
-pub(crate) async fn write_frames(mut write: OwnedWriteHalf, mut queue: mpsc::UnboundedReceiver<Vec<u8>>) {
-    while let Some(mut frame) = queue.recv().await {
-        let mut ends = frame.is_empty();
-        while let Ok(more) = queue.try_recv() {
-            ends |= more.is_empty();
-            frame.extend_from_slice(&more);
+/// Writes queued frames until the connection fails, the queue is closed or an empty frame arrives. Frames that are already
+/// queued are written together.
+pub(crate) async fn write_frames(mut write: OwnedWriteHalf, mut frames: mpsc::UnboundedReceiver<Vec<u8>>) {
+    while let Some(mut frame) = frames.recv().await {
+        let mut stop = frame.is_empty();
+        while let Ok(next) = frames.try_recv() {
+            stop |= next.is_empty();
+            frame.extend_from_slice(&next);
         }
-        if ends || write.write_all(&frame).await.is_err() {
+        if stop || write.write_all(&frame).await.is_err() {
             return;
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What processes of the tier say to each other: typed messages in bincode, in checked frames on TCP, many calls at a time on
-//! one connection a peer.
+//! RPC among the processes of the serving tier: typed messages encoded with bincode, sent in checksummed frames over TCP.
+//! All calls from one process to the same peer are multiplexed over one connection.
 
 mod calls;
 mod frame;
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -1,4 +1,7 @@
-//! All messages.
+//! The messages of the protocol.
+//!
+//! They are encoded with bincode, so their names do not reach the wire, but the order and the types of fields and variants
+//! do: changing them breaks compatibility with running processes.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,167 +13,183 @@
 use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
 use fennelgauge_sharing::{Report, Sums};
 
-/// A message with the number of its call.
+/// A request or a reply with the id of its call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CallMessage<M> {
+    /// Chosen by the client, unique on its connection; the reply carries the id of its request.
     pub call_id: u64,
     pub body: M,
 }
 
-/// What may be asked.
+/// A request to another process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// To any process that has news: answered when there is something newer, or after a while.
+    /// To any process: a long poll for newer configuration, server list and views.
     Watch(WatchRequest),
+    /// To the head or the tail of the core.
     Core(CoreRequest),
-    /// Among the core's machines; what follows from it comes as messages of their own.
+    /// A message of the coordination protocol among the machines of the core. It is only acknowledged; what follows from it
+    /// is sent as further requests.
     Coordination(Box<Envelope>),
+    /// To a store.
     Store(StoreRequest),
-    /// Requests that began, to the head of the core.
+    /// To the machines of the core: how many requests of each tenant a data plane started.
     Usage(UsageReport),
-    /// A store is there, and what it tells of its groups; to the head of the core.
+    /// To the head of the core: a store is alive.
     StoreHeartbeat(StoreHeartbeat),
-    /// The servers that a process uses, to its home.
+    /// To the machine of the core that aggregates the server statistics of the sending process.
     ServerStats(Report),
 }
 
-/// What is answered.
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
     Watch(Box<WatchReply>),
     Core(CoreReply),
     Store(StoreReply),
-    /// The servers that the home's other reporters use.
+    /// The summed server statistics of the aggregator's other reporters.
     ServerStats(Sums),
-    /// Taken notice of.
+    /// The request was received; it has no other reply.
     Acknowledged,
-    /// The asked process does not do that.
+    /// The receiving process does not serve this request.
     Unsupported,
 }
 
-/// What a watcher has already.
+/// The versions that a watcher already has. Zero stands for none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersions {
     /// Generation of the configuration.
     pub generation: u64,
-    /// Life of the list's reader and the list's version.
+    /// Incarnation of the process that read the server list, and the list's version, which counts up within an incarnation.
     pub server_list: (u64, u64),
+    /// Epoch of the stores' view.
     pub store_view: u64,
+    /// Epoch of the core's view.
     pub core_view: u64,
 }
 
-/// Asks for what is newer than what the watcher has.
+/// A long poll for state that is newer than what the watcher has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
     pub known: KnownVersions,
-    /// How long the answer may be held, in milliseconds.
+    /// Longest time that the reply may be held back while there is nothing newer, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What is newer, and how fresh the source is.
+/// The state that is newer than what the watcher has, and how fresh the source's own state is. A field is `None` where
+/// there is nothing newer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchReply {
     pub configuration: Option<ConfigurationUpdate>,
     pub server_list: Option<ServerList>,
-    /// How long ago the list was read, in milliseconds.
+    /// Time since the source's server list was read from the platform, in milliseconds.
     pub server_list_age_ms: u64,
     pub store_view: Option<StoreView>,
     pub core_view: Option<View>,
-    /// How long ago the source's view was confirmed by a majority, in milliseconds.
+    /// Time since a majority confirmed the core's view that the source has, in milliseconds.
     pub confirmed_age_ms: u64,
 }
 
-/// A configuration on its way to a watcher: packed, and by its changes where the watcher has an earlier one that the source has, too.
+/// A configuration for a watcher: compressed, and as a delta where the source still has the watcher's generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationUpdate {
     pub generation: u64,
-    /// The generation whose text the changes are for; none where the whole text is sent.
+    /// Generation of the document that the delta applies to; `None` if the whole document is sent.
     pub base_generation: Option<u64>,
-    /// Of the text.
+    /// Checksum of the resulting document.
     pub checksum: u32,
-    /// The text, or the parts of it in bincode.
+    /// The compressed document, or the compressed bincode of the delta.
     #[serde(with = "serde_bytes")]
     pub compressed: Vec<u8>,
 }
 
-/// A configuration as the operator wrote it.
+/// A configuration document, JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationBytes(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
-/// From any control process to the head or the tail of the core.
+/// A request to the core, sent by the machine that serves the operator's API.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreRequest {
+    /// To the head: changes the configuration.
     ChangeConfiguration(ConfigurationChange),
-    /// The newest committed configuration, to the tail.
+    /// To the tail: reads the newest committed configuration.
     ReadConfiguration,
-    /// To empty a store, to the head.
-    RetireStart {
-        node: String,
-    },
-    RetireStatus {
-        node: String,
-    },
-    /// What is known of a group of batch jobs, to the head.
+    /// To the head: starts moving all data off a store, so that it can be removed.
+    RetireStart { node: String },
+    /// To the head: asks how far a store's retirement is.
+    RetireStatus { node: String },
+    /// To the head: asks for the state of a group of batch jobs.
     GroupStatus(GroupNumber),
-    /// To give a group up, to the head.
+    /// To the head: gives up the data of a group whose holders are lost.
     GiveUp(GiveUp),
 }
 
-/// The operator's order.
+/// A configuration change that an operator sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChange {
     pub kind: ChangeKind,
-    /// The generation that it builds on.
+    /// The generation that has to be current for the change to apply.
     pub base_generation: u64,
+    /// JSON: the new document or the patch.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// How an order changes the configuration.
+/// How a change's body is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
+    /// The body replaces the whole configuration.
     Put,
+    /// The body lists what to insert, replace and remove.
     Patch,
 }
 
+/// The reply to a [`CoreRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreReply {
     ChangeConfiguration(ChangeReply),
+    /// `None` if there is no configuration, or the machine is not the tail of a confirmed view.
     Configuration(Option<ConfigurationBytes>),
     Retire(RetireReply),
     GroupStatus(GroupStatusReply),
     GiveUp(GiveUpReply),
 }
 
-/// What became of an order.
+/// The outcome of a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReply {
+    /// The change is committed.
     Acknowledged,
-    /// Another generation is current.
-    Conflict {
-        current_generation: u64,
-    },
+    /// The change's base is not the current generation.
+    Conflict { current_generation: u64 },
+    /// The change is malformed, for the given reason.
     Invalid(String),
-    /// Not taken; ask again.
+    /// The change was certainly not applied; it can be sent again.
     Unavailable,
-    /// May have been taken.
+    /// The change may have been applied; it can be sent again unchanged.
     OutcomeUnknown,
 }
 
+/// The state of a store's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireReply {
     Running,
     Succeeded,
+    /// There is no store of that name, or its retirement was never started.
     UnknownNode,
+    /// Too few stores would remain to tolerate the configured number of failures.
     TooFewStores,
+    /// The machine is not the head of a confirmed view, or could not commit the request.
     Unavailable,
 }
 
-/// What is known of a group.
+/// The reply to a request for a group's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupStatusReply {
     Found(GroupStatus),
+    /// There is no group with that number, or it is not placed on stores yet.
     UnknownGroup,
+    /// The machine is not the head of a confirmed view.
     Unavailable,
 }
 
@@ -178,163 +197,162 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
     pub group: u16,
-    /// Of the stores.
+    /// Epoch of the stores' view.
     pub view: u64,
+    /// Whether the group accepts batch jobs.
     pub is_open: bool,
+    /// The stores that hold the group's data or did when they were last heard from.
     pub holders: Vec<HolderSeen>,
+    /// Names of stores that were added to the group's chain and do not have all its entries yet.
     pub joining: Vec<String>,
+    /// Name of the store that copies the group before it joins the chain.
     pub learner: Option<String>,
-    /// Oldest first.
+    /// The times that the group was given up, oldest first.
     pub given_up: Vec<GivenUp>,
 }
 
-/// What became of an order to give a group up.
+/// The outcome of giving a group up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GiveUpReply {
     Done,
     Refused(GiveUpRefusal),
-    /// Not taken; ask again.
+    /// The group was certainly not given up; the request can be sent again.
     Unavailable,
-    /// May have been carried out.
+    /// The group may have been given up; the request can be sent again.
     OutcomeUnknown,
 }
 
-/// A store is there.
+/// Periodic report of a store to the head of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHeartbeat {
     pub store: Heard,
-    /// Now and then: how many entries it has, by group.
+    /// Number of entries in each group that the store has; empty in most heartbeats.
     pub entry_counts: Vec<(GroupNumber, u64)>,
-    /// Batch jobs that it has taken as a head since it told last.
+    /// Ids of batch jobs that the store accepted as a head and has not reported to this head of the core yet, by group.
     pub accepted_jobs: Vec<(GroupNumber, Vec<String>)>,
 }
 
-/// Requests of each tenant that began in each window, as one process counted them so far.
+/// Numbers of requests that one data plane started, by window and tenant, and the timeliness of its responses.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UsageReport {
     pub node: String,
-    /// Drawn at the process's start.
+    /// Random number drawn at the process's start; tells its counts from those of an earlier run.
     pub incarnation: u64,
+    /// Totals so far of the newest windows.
     pub windows: Vec<WindowCounts>,
+    /// Totals by service since the process's start.
     pub timeliness: Vec<ServiceTimeliness>,
 }
 
-/// Answers of one service since the process's start, and how many of them were late.
+/// Responses of one service since the reporting process's start, and how many of them were late.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTimeliness {
     pub service: String,
     pub responses: u64,
+    /// Responses that failed, or missed the route's objective for the first byte or for a pause between two pieces.
     pub late: u64,
 }
 
-/// Counts of one window.
+/// Number of requests started in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
+    /// Start of the window since 1970, in units of the window's width.
     pub window: u64,
+    /// Requests by name of the tenant.
     pub tenant_counts: Vec<(String, u64)>,
 }
 
-/// To stores. `epoch` is that of the stores' view.
+/// A request to a store, from a data plane or another store. `epoch` is that of the stores' view on which the sender acts;
+/// a store does not act on a request from a view that is not its own.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreRequest {
+    /// To the head of the group's chain: accepts a batch job.
     Submit {
         epoch: u64,
         group: GroupNumber,
         job: Job,
+        /// The tenant's limit of queued tokens.
         max_queued: u64,
     },
-    Cancel {
-        epoch: u64,
-        group: GroupNumber,
-        tenant: String,
-        job: String,
-    },
+    /// To the head: cancels a batch job; its remaining items do not run.
+    Cancel { epoch: u64, group: GroupNumber, tenant: String, job: String },
+    /// To the tail: reads a batch job's results.
     ReadResults {
         epoch: u64,
         group: GroupNumber,
         tenant: String,
         job: String,
+        /// How many results to skip.
         start_after: u32,
+        /// Longest time that the reply may be held back while there is no further result, in milliseconds.
         wait_ms: u64,
     },
-    ReadItemBody {
-        epoch: u64,
-        group: GroupNumber,
-        tenant: String,
-        job: String,
-        item: String,
-    },
-    /// Entries on their way along chains.
-    Append {
-        epoch: u64,
-        batches: Vec<EntryBatch>,
-    },
-    /// Whether the view still stands, and how far the asked store is in a group.
-    Position {
-        epoch: u64,
-        group: GroupNumber,
-    },
-    /// A link that is not level in the view, to its predecessor: look after these groups.
-    RecheckGroups {
-        epoch: u64,
-        groups: Vec<GroupNumber>,
-    },
-    /// What follows a position, for a learner.
-    FetchEntries {
-        epoch: u64,
-        group: GroupNumber,
-        after: EntryPosition,
-    },
-    /// A whole copy of a group, from its predecessor in the chain.
-    InstallCopy {
-        epoch: u64,
-        group: GroupNumber,
-        copy: GroupCopy,
-    },
-    /// What the store has done since it began.
+    /// To the tail: reads the body of an item that has no result yet.
+    ReadItemBody { epoch: u64, group: GroupNumber, tenant: String, job: String, item: String },
+    /// To the successor in the groups' chains: appends entries.
+    Append { epoch: u64, batches: Vec<EntryBatch> },
+    /// Asks whether the store's view has that epoch, and for its position in a group.
+    Position { epoch: u64, group: GroupNumber },
+    /// To the predecessor, from a store that has stayed behind in the view: check the sender's state of these groups again
+    /// and send what it lacks.
+    RecheckGroups { epoch: u64, groups: Vec<GroupNumber> },
+    /// From a learner: reads the entries after a position, or a copy of the group if they are no longer kept.
+    FetchEntries { epoch: u64, group: GroupNumber, after: EntryPosition },
+    /// From the predecessor in the chain: replaces the store's state of a group by a copy.
+    InstallCopy { epoch: u64, group: GroupNumber, copy: GroupCopy },
+    /// Reads the store's counters.
     Counters,
 }
 
-/// What a store has done since it began.
+/// Work that a store has done since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCounters {
-    /// Files of the journal, each written and synced by itself.
+    /// Journal files written, each with a sync of its own.
     pub journal_syncs: u64,
+    /// Bytes in these files.
     pub journal_bytes: u64,
     /// Calls to other processes.
     pub calls: u64,
+    /// Bytes of these calls' requests.
     pub call_bytes: u64,
-    /// Entries made as a head.
+    /// Entries that the store created as the head of a chain.
     pub head_entries: u64,
-    /// Results among them.
+    /// Results of items in these entries.
     pub head_results: u64,
 }
 
+/// The reply to a [`StoreRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreReply {
+    /// The batch job was accepted or cancelled, and this is committed.
     Accepted,
+    /// The batch job would exceed the tenant's limit of queued tokens.
     OverQuota,
-    /// Certainly not taken: wrong store, wrong view, no room.
+    /// The request was certainly not executed: wrong store, wrong view or no room.
     NotAccepted,
-    /// May have been taken.
+    /// The request may have been executed.
     OutcomeUnknown,
+    /// A page of results.
     Page(Page),
+    /// The body of an item.
     Body(serde_bytes::ByteBuf),
+    /// There is no such batch job or item.
     NotFound,
-    /// The batch job was given up with its group, or there never was one of that name.
+    /// The batch job was lost when its group was given up, or no batch job of that name ever existed.
     GivenUp,
-    /// Nobody here can be sure.
+    /// The store could not make sure that its state of the group is current, or could not write to its disk in time.
     Undetermined,
-    /// Groups in which every further link is level and has the entries, too.
+    /// The entries were appended.
     Appended {
+        /// Groups in which every further store of the chain is caught up and has the entries, too.
         replicated: Vec<GroupNumber>,
     },
-    /// Taken notice of.
+    /// The request was received; it has no other reply.
     Acknowledged,
-    /// The asked store is in that view.
+    /// The store is in the view of this epoch, not in that of the request.
     EpochMismatch(u64),
     Position(EntryPosition),
-    /// The copy is on the disk.
+    /// The copy is on the store's disk.
     Installed,
     Entries(EntryBatch),
     Copy(GroupCopy),
