--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -1,4 +1,4 @@
-//! Batch calls: each goes to the store that answers for the tenant's group.
+//! Batch jobs: each request is passed to the store that is the head or the tail of the tenant's group.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,23 +15,29 @@
 use serde::Deserialize;
 use tokio::time::{sleep, Instant};
 
-use crate::front::{self, finished, header_text, refused, Open};
-use crate::process::Plane;
+use crate::frontend::{self, empty_response, header_text, refuse_unexecuted, OpenRequest};
+use crate::process::DataPlane;
 
+/// `Retry-After` in responses to requests that no store executed.
 const RETRY_AFTER_S: f64 = 0.2;
+/// `Retry-After` in responses to batch jobs beyond the tenant's quota.
 const QUOTA_RETRY_AFTER_S: f64 = 1.0;
-/// How long a batch job is offered to its store before the client is sent elsewhere.
-const SUBMIT_FOR: Duration = Duration::from_millis(2_500);
+/// How long a request is retried at stores before the client is told to try another data plane or that the outcome is
+/// unknown.
+const RETRY_DURATION: Duration = Duration::from_millis(2_500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Beyond the time that a read may be held.
+/// Time for reading results in addition to the poll's waiting time.
 const READ_MARGIN: Duration = Duration::from_millis(1_100);
-const ASK_AGAIN: Duration = Duration::from_millis(60);
-const LONGEST_POLL: Duration = Duration::from_secs(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
+const MAX_POLL_WAIT: Duration = Duration::from_secs(10);
+/// Reason in responses about a batch job that was given up.
 const GIVEN_UP: &str = "all stores that held this tenant's batch jobs were lost and the jobs were given up, this one with them if it \
      was accepted: submit it again under another id";
 
+/// JSON body of a submission. Deserialization errors, which clients get to see, call it `Submitted`.
 #[derive(Deserialize)]
-struct Submitted {
+#[serde(rename = "Submitted")]
+struct SubmittedJob {
     requests: Vec<SubmittedItem>,
 }
 
@@ -41,46 +47,48 @@
     path: String,
     #[serde(default)]
     headers: std::collections::BTreeMap<String, String>,
+    /// Base64.
     #[serde(default)]
     body: String,
     tokens: u64,
 }
 
-/// Takes a batch job to its store.
-pub async fn submit(plane: &Rc<Plane>, request: &HttpRequest, access: &Access, body: Bytes) -> HttpResponse {
-    let job = match read_job(plane, request, access, &body) {
+/// Handles the submission of a batch job: the head of the tenant's group accepts it.
+pub async fn submit(
+    plane: &Rc<DataPlane>,
+    request: &HttpRequest,
+    access: &Access,
+    body: Bytes,
+) -> HttpResponse {
+    let job = match parse_job(plane, request, access, &body) {
         Ok(job) => job,
         Err(reason) => return HttpResponse::BadRequest().json(serde_json::json!({ "error": reason })),
     };
     drop(body);
     let group = group_of(&job.tenant);
-    let most_queued = access.route.max_queued;
-    let ask = |view: &StoreView| StoreRequest::Submit {
-        epoch: view.epoch,
-        group,
-        job: job.clone(),
-        max_queued: most_queued,
-    };
-    let until = Instant::now() + SUBMIT_FOR;
-    match ask_store(plane, StoreView::head, group, ask, CALL_TIMEOUT, until).await {
-        Asked::Answered(StoreReply::Accepted) => finished(plane, HttpResponse::Accepted()),
-        Asked::Answered(StoreReply::OverQuota) => {
-            refused(plane, StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER_S)
+    let max_queued = access.route.max_queued;
+    let store_request =
+        |view: &StoreView| StoreRequest::Submit { epoch: view.epoch, group, job: job.clone(), max_queued };
+    let deadline = Instant::now() + RETRY_DURATION;
+    match call_store(plane, StoreView::head, group, store_request, CALL_TIMEOUT, deadline).await {
+        StoreOutcome::Replied(StoreReply::Accepted) => empty_response(plane, HttpResponse::Accepted()),
+        StoreOutcome::Replied(StoreReply::OverQuota) => {
+            refuse_unexecuted(plane, StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER_S)
         }
-        Asked::Answered(StoreReply::GivenUp) => given_up(plane),
-        Asked::NotTaken => refused(plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
-        _ => finished(plane, HttpResponse::GatewayTimeout()),
+        StoreOutcome::Replied(StoreReply::GivenUp) => given_up_response(plane),
+        StoreOutcome::NotExecuted => refuse_unexecuted(plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
+        _ => empty_response(plane, HttpResponse::GatewayTimeout()),
     }
 }
 
-fn read_job(plane: &Plane, request: &HttpRequest, access: &Access, body: &[u8]) -> Result<Job, String> {
-    let submitted: Submitted = serde_json::from_slice(body).map_err(|reason| reason.to_string())?;
-    let items = submitted.requests.into_iter().map(read_item).collect::<Result<Vec<Item>, String>>()?;
+fn parse_job(plane: &DataPlane, request: &HttpRequest, access: &Access, body: &[u8]) -> Result<Job, String> {
+    let submitted: SubmittedJob = serde_json::from_slice(body).map_err(|reason| reason.to_string())?;
+    let items = submitted.requests.into_iter().map(parse_item).collect::<Result<Vec<Item>, String>>()?;
     let job = Job {
         id: header_text(request, &REQUEST_ID).unwrap_or("").to_owned(),
         tenant: tenant_name(plane, request, access),
         route: access.route.name.clone(),
-        host: front::host(request).to_owned(),
+        host: frontend::host(request).to_owned(),
         received_ms: wall_clock().as_millis() as u64,
         items,
     };
@@ -88,7 +96,7 @@
     Ok(job)
 }
 
-fn read_item(item: SubmittedItem) -> Result<Item, String> {
+fn parse_item(item: SubmittedItem) -> Result<Item, String> {
     let body = BASE64_STANDARD.decode(&item.body);
     let body = body.map_err(|reason| format!("item {:?}: its body is no base64: {reason}", item.id))?;
     Ok(Item {
@@ -100,11 +108,12 @@
     })
 }
 
-/// On a public route, too, a batch job belongs to the tenant whose key came with it.
-fn tenant_name(plane: &Plane, request: &HttpRequest, access: &Access) -> String {
+/// Returns the name of the tenant that owns a submitted batch job. Also on a public route this is the tenant whose key the
+/// client sent; it is empty if the client sent no valid key.
+fn tenant_name(plane: &DataPlane, request: &HttpRequest, access: &Access) -> String {
     match &access.tenant {
         Some(tenant) => tenant.name.clone(),
-        None => caller_tenant(plane, request).unwrap_or_default(),
+        None => authenticate(plane, request).unwrap_or_default(),
     }
 }
 
@@ -112,98 +121,104 @@
     GroupNumber::of(stable_hash(tenant))
 }
 
-/// What became of a call to a store.
-enum Asked {
-    Answered(StoreReply),
-    /// No store has got it.
-    NotTaken,
-    /// A store may have got it.
+/// The outcome of a request to the stores.
+enum StoreOutcome {
+    Replied(StoreReply),
+    /// No store executed the request.
+    NotExecuted,
+    /// A store may have executed the request.
     Unknown,
 }
 
-/// Asks the store that the newest view names, again after a failure, until the time is up.
-async fn ask_store(
-    plane: &Plane,
+/// Sends a request to the store that `store` selects from the newest view. After a failure it is sent again, to the store
+/// selected then, until `deadline`. `call_timeout` limits each call.
+async fn call_store(
+    plane: &DataPlane,
     store: impl Fn(&StoreView, GroupNumber) -> Option<&Store>,
     group: GroupNumber,
     request: impl Fn(&StoreView) -> StoreRequest,
-    within: Duration,
-    until: Instant,
-) -> Asked {
-    let mut arrived = false;
+    call_timeout: Duration,
+    deadline: Instant,
+) -> StoreOutcome {
+    let mut may_have_executed = false;
     loop {
         let view = plane.known.stores();
         if let Some(store) = store(&view, group) {
-            let left = until.saturating_duration_since(Instant::now()).min(within);
-            let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), left);
+            let time_left = deadline.saturating_duration_since(Instant::now()).min(call_timeout);
+            let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), time_left);
             match call.await {
                 Ok(Reply::Store(StoreReply::NotAccepted | StoreReply::Undetermined))
                 | Ok(Reply::Unsupported) => {}
-                Ok(Reply::Store(StoreReply::OutcomeUnknown)) | Err(CallError::NoReply(_)) => arrived = true,
-                Ok(Reply::Store(reply)) => return Asked::Answered(reply),
+                Ok(Reply::Store(StoreReply::OutcomeUnknown)) | Err(CallError::NoReply(_)) => {
+                    may_have_executed = true
+                }
+                Ok(Reply::Store(reply)) => return StoreOutcome::Replied(reply),
                 Ok(_) | Err(CallError::NotSent(_)) => {}
             }
         }
-        if Instant::now() + ASK_AGAIN >= until {
-            return if arrived { Asked::Unknown } else { Asked::NotTaken };
+        if Instant::now() + RETRY_INTERVAL >= deadline {
+            return if may_have_executed { StoreOutcome::Unknown } else { StoreOutcome::NotExecuted };
         }
-        sleep(ASK_AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// The tenant of a call that names a batch job, by the host's batch routes and the key.
-fn caller_tenant(plane: &Plane, request: &HttpRequest) -> Result<String, Denial> {
+/// Returns the name of the tenant whose key a request carries; empty if the configuration has no tenants. Errs if the host
+/// has no route or the key is unknown.
+fn authenticate(plane: &DataPlane, request: &HttpRequest) -> Result<String, Denial> {
     let table = plane.known.table().ok_or(Denial::NoRoute)?;
-    table.routes_of(front::host(request)).ok_or(Denial::NoRoute)?;
-    match table.authorized(front::authorization(request)) {
+    table.routes_of(frontend::host(request)).ok_or(Denial::NoRoute)?;
+    match table.authorized(frontend::authorization(request)) {
         Some(tenant) => Ok(tenant.name.clone()),
         None if table.configuration.tenants.is_none() => Ok(String::new()),
         None => Err(Denial::UnknownKey),
     }
 }
 
-/// Whose call it is, and where its batch jobs are.
+/// The tenant that a request comes from and the group that holds its batch jobs.
 struct Owner {
     tenant: String,
     group: GroupNumber,
 }
 
-fn caller(plane: &Plane, request: &HttpRequest) -> Result<Owner, Denial> {
-    let tenant = caller_tenant(plane, request)?;
+fn owner(plane: &DataPlane, request: &HttpRequest) -> Result<Owner, Denial> {
+    let tenant = authenticate(plane, request)?;
     Ok(Owner { group: group_of(&tenant), tenant })
 }
 
-fn denied(plane: &Plane, denial: Denial) -> HttpResponse {
+fn denial_response(plane: &DataPlane, denial: Denial) -> HttpResponse {
     match denial {
-        // A host without routes may be one whose configuration is still on its way.
-        Denial::NoRoute => refused(plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
-        Denial::UnknownKey => finished(plane, HttpResponse::Unauthorized()),
+        // A configuration with routes for this host may not have arrived yet.
+        Denial::NoRoute => refuse_unexecuted(plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
+        Denial::UnknownKey => empty_response(plane, HttpResponse::Unauthorized()),
     }
 }
 
+/// Query parameters of a request for results.
 #[derive(Deserialize)]
-pub struct ReadQuery {
+pub struct ResultsQuery {
+    /// How many results to skip.
     #[serde(default)]
     start_after: u32,
 }
 
-/// Results of a batch job.
-pub async fn read(
+/// Handles a long poll for a batch job's results.
+pub async fn read_results(
     request: HttpRequest,
     job: web::Path<String>,
-    query: web::Query<ReadQuery>,
-    plane: Data<Rc<Plane>>,
+    query: web::Query<ResultsQuery>,
+    plane: Data<Rc<DataPlane>>,
 ) -> HttpResponse {
     let plane = plane.get_ref().clone();
-    let _open = Open::new(&plane);
-    let Owner { tenant, group } = match caller(&plane, &request) {
+    let _open = OpenRequest::new(&plane);
+    let Owner { tenant, group } = match owner(&plane, &request) {
         Ok(owner) => owner,
-        Err(denial) => return denied(&plane, denial),
+        Err(denial) => return denial_response(&plane, denial),
     };
     let wait = header_text(&request, &POLL_WAIT).and_then(|value| value.parse().ok());
-    let wait = wait.map_or(Duration::ZERO, Duration::from_millis).min(LONGEST_POLL);
-    let until = Instant::now() + wait + READ_MARGIN;
-    let ask = |view: &StoreView| StoreRequest::ReadResults {
+    let wait = wait.map_or(Duration::ZERO, Duration::from_millis).min(MAX_POLL_WAIT);
+    let deadline = Instant::now() + wait + READ_MARGIN;
+    let store_request = |view: &StoreView| StoreRequest::ReadResults {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
@@ -211,88 +226,113 @@
         start_after: query.start_after,
         wait_ms: wait.as_millis() as u64,
     };
-    match ask_store(&plane, StoreView::tail, group, ask, wait + READ_MARGIN, until).await {
-        Asked::Answered(StoreReply::Page(page)) => finished_page(&plane, page),
-        Asked::Answered(StoreReply::NotFound) => finished(&plane, HttpResponse::NotFound()),
-        Asked::Answered(StoreReply::GivenUp) => given_up(&plane),
-        _ => refused(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
+    match call_store(&plane, StoreView::tail, group, store_request, wait + READ_MARGIN, deadline).await {
+        StoreOutcome::Replied(StoreReply::Page(page)) => page_response(&plane, page),
+        StoreOutcome::Replied(StoreReply::NotFound) => empty_response(&plane, HttpResponse::NotFound()),
+        StoreOutcome::Replied(StoreReply::GivenUp) => given_up_response(&plane),
+        _ => refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
     }
 }
 
-/// The answer for a batch job that an operator gave up, after the loss of more stores than are borne.
-fn given_up(plane: &Plane) -> HttpResponse {
-    let mut answer = HttpResponse::Gone();
-    front::close_if_stopping(plane, &mut answer);
-    answer.json(serde_json::json!({ "error": "given_up", "reason": GIVEN_UP }))
+/// Builds the response about a batch job that was given up by an operator after more stores were lost than the deployment
+/// tolerates.
+fn given_up_response(plane: &DataPlane) -> HttpResponse {
+    let mut response = HttpResponse::Gone();
+    frontend::close_if_stopping(plane, &mut response);
+    response.json(serde_json::json!({ "error": "given_up", "reason": GIVEN_UP }))
 }
 
-fn finished_page(plane: &Plane, page: Page) -> HttpResponse {
-    let result = |(id, result): &(String, fennelgauge_batch::ItemResult)| {
+fn page_response(plane: &DataPlane, page: Page) -> HttpResponse {
+    let to_json = |(id, result): &(String, fennelgauge_batch::ItemResult)| {
         let state = match result.outcome {
             ItemOutcome::Succeeded => "succeeded",
             ItemOutcome::DeadLettered => "dead_lettered",
         };
         serde_json::json!({ "id": id, "state": state, "text": result.text })
     };
-    let results: Vec<serde_json::Value> = page.results.iter().map(result).collect();
-    let mut answer = HttpResponse::Ok();
-    front::close_if_stopping(plane, &mut answer);
-    answer.json(serde_json::json!({ "total": page.total, "next_token": page.next, "results": results }))
+    let results: Vec<serde_json::Value> = page.results.iter().map(to_json).collect();
+    let mut response = HttpResponse::Ok();
+    frontend::close_if_stopping(plane, &mut response);
+    response.json(serde_json::json!({ "total": page.total, "next_token": page.next, "results": results }))
 }
 
+/// Query parameters of a request for an item's body.
 #[derive(Deserialize)]
-pub struct BodyQuery {
+pub struct ItemBodyQuery {
+    /// Id of the item.
     id: String,
 }
 
-/// The body of an item that has no result yet.
-pub async fn body(
+/// Handles a request for the body of an item that has no result yet.
+pub async fn read_item_body(
     request: HttpRequest,
     job: web::Path<String>,
-    query: web::Query<BodyQuery>,
-    plane: Data<Rc<Plane>>,
+    query: web::Query<ItemBodyQuery>,
+    plane: Data<Rc<DataPlane>>,
 ) -> HttpResponse {
     let plane = plane.get_ref().clone();
-    let _open = Open::new(&plane);
-    let Owner { tenant, group } = match caller(&plane, &request) {
+    let _open = OpenRequest::new(&plane);
+    let Owner { tenant, group } = match owner(&plane, &request) {
         Ok(owner) => owner,
-        Err(denial) => return denied(&plane, denial),
+        Err(denial) => return denial_response(&plane, denial),
     };
-    let ask = |view: &StoreView| StoreRequest::ReadItemBody {
+    let store_request = |view: &StoreView| StoreRequest::ReadItemBody {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
         job: job.to_string(),
         item: query.id.clone(),
     };
-    match ask_store(&plane, StoreView::tail, group, ask, CALL_TIMEOUT, Instant::now() + SUBMIT_FOR).await {
-        Asked::Answered(StoreReply::Body(body)) => {
+    match call_store(
+        &plane,
+        StoreView::tail,
+        group,
+        store_request,
+        CALL_TIMEOUT,
+        Instant::now() + RETRY_DURATION,
+    )
+    .await
+    {
+        StoreOutcome::Replied(StoreReply::Body(body)) => {
             HttpResponse::Ok().content_type("application/octet-stream").body(body.into_vec())
         }
-        Asked::Answered(StoreReply::NotFound) => finished(&plane, HttpResponse::NotFound()),
-        Asked::Answered(StoreReply::GivenUp) => given_up(&plane),
-        _ => refused(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
+        StoreOutcome::Replied(StoreReply::NotFound) => empty_response(&plane, HttpResponse::NotFound()),
+        StoreOutcome::Replied(StoreReply::GivenUp) => given_up_response(&plane),
+        _ => refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
     }
 }
 
-/// Ends a batch job.
-pub async fn end(request: HttpRequest, job: web::Path<String>, plane: Data<Rc<Plane>>) -> HttpResponse {
+/// Handles the cancellation of a batch job.
+pub async fn cancel(
+    request: HttpRequest,
+    job: web::Path<String>,
+    plane: Data<Rc<DataPlane>>,
+) -> HttpResponse {
     let plane = plane.get_ref().clone();
-    let _open = Open::new(&plane);
-    let Owner { tenant, group } = match caller(&plane, &request) {
+    let _open = OpenRequest::new(&plane);
+    let Owner { tenant, group } = match owner(&plane, &request) {
         Ok(owner) => owner,
-        Err(denial) => return denied(&plane, denial),
+        Err(denial) => return denial_response(&plane, denial),
     };
-    let ask = |view: &StoreView| StoreRequest::Cancel {
+    let store_request = |view: &StoreView| StoreRequest::Cancel {
         epoch: view.epoch,
         group,
         tenant: tenant.clone(),
         job: job.to_string(),
     };
-    match ask_store(&plane, StoreView::head, group, ask, CALL_TIMEOUT, Instant::now() + SUBMIT_FOR).await {
-        Asked::Answered(StoreReply::Accepted) => finished(&plane, HttpResponse::Ok()),
-        Asked::Answered(StoreReply::NotFound) => finished(&plane, HttpResponse::NotFound()),
-        Asked::Answered(StoreReply::GivenUp) => given_up(&plane),
-        _ => finished(&plane, HttpResponse::GatewayTimeout()),
+    match call_store(
+        &plane,
+        StoreView::head,
+        group,
+        store_request,
+        CALL_TIMEOUT,
+        Instant::now() + RETRY_DURATION,
+    )
+    .await
+    {
+        StoreOutcome::Replied(StoreReply::Accepted) => empty_response(&plane, HttpResponse::Ok()),
+        StoreOutcome::Replied(StoreReply::NotFound) => empty_response(&plane, HttpResponse::NotFound()),
+        StoreOutcome::Replied(StoreReply::GivenUp) => given_up_response(&plane),
+        _ => empty_response(&plane, HttpResponse::GatewayTimeout()),
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,11 +1,11 @@
-//! The data plane: takes clients' requests, finds route and tenant, sends each to a server, passes the answer on; takes
-//! batch jobs to their stores.
+//! The data plane: accepts clients' requests, determines route and tenant, forwards live requests to model servers and
+//! streams their responses back. Batch jobs are handed to the stores that hold the tenant's group.
 
 pub mod batch;
-pub mod front;
+pub mod frontend;
 pub mod live;
 pub mod process;
-pub mod ready;
-pub mod resumed;
+pub mod readiness;
+pub mod resumable_stream;
 pub mod timeliness;
 pub mod usage;
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -1,4 +1,4 @@
-//! A live request: tried at servers until one answers, its answer passed on as it comes.
+//! Live requests: each is sent to one server after the other until one responds; the response is streamed to the client.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,103 +17,112 @@
 use futures_util::stream::{self, Stream};
 use tokio::time::{sleep, Instant};
 
-use crate::front::{close_if_stopping, finished, header_text, refused, Open};
-use crate::process::Plane;
-use crate::resumed;
-use crate::timeliness::Watched;
+use crate::frontend::{close_if_stopping, empty_response, header_text, refuse_unexecuted, OpenRequest};
+use crate::process::DataPlane;
+use crate::resumable_stream;
+use crate::timeliness::ResponseTimer;
 
-/// Servers that may refuse one try, one after the other.
-const MOST_REFUSALS: u32 = 4;
-/// With no server to be had, a request waits so long before it looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
-/// Where the client names no deadline.
+/// How many servers may refuse a request, or be unreachable, in one search for a response before it fails.
+const MAX_REFUSALS: u32 = 4;
+/// Delay before a request that found no available server searches again.
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Deadline of requests whose client names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+/// `Retry-After` in responses to requests that were not executed.
 const RETRY_AFTER_S: f64 = 0.15;
-/// A server may be silent for so long, and for so many times a route's objective.
-const LEAST_PATIENCE: Duration = Duration::from_millis(700);
-const PATIENCE_PER_TARGET: u32 = 3;
-/// The least urgent rank that a request can have.
+/// A server that sends nothing is left for another one after this time, or after this multiple of the route's objective,
+/// whichever is longer.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
+const IDLE_TIMEOUT_TARGET_MULTIPLE: u32 = 3;
+/// Least urgent value of the `Priority` header.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// One request through all its attempts.
+/// A request with the state of all its attempts. An attempt that a server may have executed is a run.
 pub(crate) struct Attempts {
-    pub plane: Rc<Plane>,
+    pub plane: Rc<DataPlane>,
     pub access: Access,
     pub service: String,
     pub outgoing: Outgoing,
-    pub until: Instant,
+    /// When the client's deadline or the route's timeout ends, whichever is earlier.
+    pub deadline: Instant,
     demand: Demand,
+    /// Ids of the servers tried so far.
     tried: Vec<String>,
-    /// Servers that may have run it.
+    /// Number of servers that may have executed the request.
     pub runs: u32,
-    pub watched: Watched,
+    pub timer: ResponseTimer,
 }
 
-/// An answer with the place at its server.
-pub(crate) struct Accepted {
-    pub answer: Answer,
+/// A server's response while its body is being read.
+pub(crate) struct ActiveResponse {
+    pub response: Answer,
+    /// Counts the request as in flight at its server until dropped.
     pub ticket: Ticket,
 }
 
-/// Why there is no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No server has run it or will.
-    NotRun,
-    /// A server may have run it.
-    MayHaveRun,
-    TimeUp,
+    /// No server has executed the request or will.
+    NotExecuted,
+    /// A server may have executed the request.
+    MayHaveExecuted,
+    /// The deadline passed, and a server may have executed the request.
+    DeadlineExceeded,
 }
 
-/// Answers one request.
+/// Answers a request to a live route.
 pub async fn answer(
-    plane: Rc<Plane>,
-    open: Open,
+    plane: Rc<DataPlane>,
+    open: OpenRequest,
     request: &HttpRequest,
     access: Access,
     body: Bytes,
 ) -> HttpResponse {
     let Some(mut attempts) = Attempts::new(plane.clone(), request, access, body) else {
-        return finished(&plane, HttpResponse::BadRequest());
+        return empty_response(&plane, HttpResponse::BadRequest());
     };
-    let attempted = attempts.next(None).await;
-    match attempted {
-        Ok(_) => attempts.watched.piece(),
-        Err(_) => attempts.watched.fail(),
+    let result = attempts.next_response(None).await;
+    match result {
+        Ok(_) => attempts.timer.record_data(),
+        Err(_) => attempts.timer.record_failure(),
     }
-    match attempted {
-        Ok(accepted) => {
-            if let (Some(tenant), true) = (&attempts.access.tenant, accepted.answer.status().is_success()) {
+    match result {
+        Ok(active) => {
+            if let (Some(tenant), true) = (&attempts.access.tenant, active.response.status().is_success()) {
                 plane.usage.borrow_mut().count(&tenant.name);
             }
-            pass_on(attempts, open, accepted)
+            forward(attempts, open, active)
         }
-        Err(Failure::NotRun) => refused(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S),
-        Err(Failure::MayHaveRun) => finished(&plane, HttpResponse::BadGateway()),
-        Err(Failure::TimeUp) => finished(&plane, HttpResponse::GatewayTimeout()),
+        Err(Failure::NotExecuted) => {
+            refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S)
+        }
+        Err(Failure::MayHaveExecuted) => empty_response(&plane, HttpResponse::BadGateway()),
+        Err(Failure::DeadlineExceeded) => empty_response(&plane, HttpResponse::GatewayTimeout()),
     }
 }
 
 impl Attempts {
-    fn new(plane: Rc<Plane>, request: &HttpRequest, access: Access, body: Bytes) -> Option<Self> {
+    /// Prepares a client's request; `None` if it has no request id.
+    fn new(plane: Rc<DataPlane>, request: &HttpRequest, access: Access, body: Bytes) -> Option<Self> {
         let id = header_text(request, &REQUEST_ID)?.to_owned();
         let deadline = header_text(request, &DEADLINE).and_then(|value| value.parse().ok());
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
-        let held = Duration::from_millis(access.route.timeout_ms);
+        let route_timeout = Duration::from_millis(access.route.timeout_ms);
         let service = access.route.service(fixed_chance(&id)).to_owned();
         let outgoing = Outgoing {
             method: request.method().clone(),
             path_and_query: request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned(),
-            host: crate::front::host(request).to_owned(),
+            host: crate::frontend::host(request).to_owned(),
             headers: headers_for_server(request, &access),
             id,
             body,
         };
         Some(Self {
-            watched: Watched::new(plane.clone(), &service, &access.route),
+            timer: ResponseTimer::new(plane.clone(), &service, &access.route),
             service,
             demand: Demand::of_prefix(header_text(request, &PREFIX_HASH)),
-            until: Instant::now() + deadline.min(held),
+            deadline: Instant::now() + deadline.min(route_timeout),
             tried: Vec::new(),
             runs: 0,
             outgoing,
@@ -122,34 +131,36 @@
         })
     }
 
-    /// Tries servers until one answers. `last_event` continues a stream after that event.
-    pub(crate) async fn next(&mut self, last_event: Option<u64>) -> Result<Accepted, Failure> {
+    /// Tries servers until one responds. With `last_event`, the server is asked to continue the stream after that event.
+    pub(crate) async fn next_response(&mut self, last_event: Option<u64>) -> Result<ActiveResponse, Failure> {
         let mut refusals = 0;
         let mut outgoing = self.outgoing.clone();
         if let Some(last_event) = last_event {
             outgoing.headers.push((fennelgauge_upstream::LAST_EVENT_ID, HeaderValue::from(last_event)));
         }
         loop {
-            let left = self.until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(if self.runs > 0 { Failure::TimeUp } else { Failure::NotRun });
+            let time_left = self.deadline.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
+                return Err(if self.runs > 0 { Failure::DeadlineExceeded } else { Failure::NotExecuted });
             }
             let Some(ticket) = self.plane.pool.choose(&self.service, &self.tried, &self.demand) else {
-                if self.tried.is_empty() && left > LOOK_AGAIN {
-                    sleep(LOOK_AGAIN).await;
+                if self.tried.is_empty() && time_left > NO_SERVER_RETRY_DELAY {
+                    sleep(NO_SERVER_RETRY_DELAY).await;
                     continue;
                 }
-                return Err(self.given_up());
+                return Err(self.failure());
             };
             self.tried.push(ticket.server.id.clone());
-            let within =
-                if self.leaves_silence_after(self.runs + 1) { left.min(self.patience()) } else { left };
-            let sent = self.plane.sender.send(&ticket.server, &outgoing, left, within).await;
+            let response_timeout = match self.may_leave_idle_server(self.runs + 1) {
+                true => time_left.min(self.idle_timeout()),
+                false => time_left,
+            };
+            let sent = self.plane.sender.send(&ticket.server, &outgoing, time_left, response_timeout).await;
             let error = match sent {
-                Ok(answer) => {
-                    self.plane.pool.learn(&ticket, &answer);
+                Ok(response) => {
+                    self.plane.pool.learn(&ticket, &response);
                     self.runs += 1;
-                    return Ok(Accepted { answer, ticket });
+                    return Ok(ActiveResponse { response, ticket });
                 }
                 Err(error) => error,
             };
@@ -158,50 +169,55 @@
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
                 SendError::MayHaveRun | SendError::TimeUp => self.runs += 1,
             }
-            let runs_left = self.access.route.repeatable() && self.runs < self.most_runs();
-            if self.runs > 0 && !runs_left {
-                return Err(self.given_up());
+            let may_run_again = self.access.route.repeatable() && self.runs < self.max_runs();
+            if self.runs > 0 && !may_run_again {
+                return Err(self.failure());
             }
-            if refusals > MOST_REFUSALS {
-                return Err(self.given_up());
+            if refusals > MAX_REFUSALS {
+                return Err(self.failure());
             }
         }
     }
 
-    pub(crate) fn most_runs(&self) -> u32 {
+    /// Returns how many servers may execute the request.
+    pub(crate) fn max_runs(&self) -> u32 {
         self.access.route.retries.max(1)
     }
 
-    /// Whether a server's silence is left for another one, which may run the request after `runs` others.
-    pub(crate) fn leaves_silence_after(&self, runs: u32) -> bool {
-        let leaves = self.plane.settings.policy.leave_silent_servers;
-        leaves && self.access.route.repeatable() && runs < self.most_runs()
+    /// Whether a server that sends nothing may be left for another one, given that `runs` servers may have executed the
+    /// request by then.
+    pub(crate) fn may_leave_idle_server(&self, runs: u32) -> bool {
+        let enabled = self.plane.settings.policy.leave_silent_servers;
+        enabled && self.access.route.repeatable() && runs < self.max_runs()
     }
 
-    /// After a silence of this length a request that may be repeated goes to another server.
-    pub(crate) fn patience(&self) -> Duration {
-        LEAST_PATIENCE.max(Duration::from_millis(self.access.route.target_ms) * PATIENCE_PER_TARGET)
+    /// Returns how long a server may send nothing before the request is sent to another one.
+    pub(crate) fn idle_timeout(&self) -> Duration {
+        let target = Duration::from_millis(self.access.route.target_ms);
+        MIN_IDLE_TIMEOUT.max(target * IDLE_TIMEOUT_TARGET_MULTIPLE)
     }
 
-    fn given_up(&self) -> Failure {
+    /// Returns the failure to report when no further server is tried.
+    fn failure(&self) -> Failure {
         match self.runs {
-            0 => Failure::NotRun,
-            _ if Instant::now() >= self.until => Failure::TimeUp,
-            _ => Failure::MayHaveRun,
+            0 => Failure::NotExecuted,
+            _ if Instant::now() >= self.deadline => Failure::DeadlineExceeded,
+            _ => Failure::MayHaveExecuted,
         }
     }
 }
 
-/// What the server gets of the client's headers, with the tenant and the rank.
+/// Returns the client's headers that are passed to the server, with the tenant and the priority added. Hop-by-hop headers,
+/// the client's key and the headers that the data plane sets itself are left out.
 fn headers_for_server(request: &HttpRequest, access: &Access) -> Vec<(HeaderName, HeaderValue)> {
-    let set_here =
+    let replaced =
         [header::HOST, header::AUTHORIZATION, REQUEST_ID, DEADLINE, TARGET_INSTANCE, TENANT, PRIORITY];
-    let passed = request
+    let forwarded = request
         .headers()
         .iter()
-        .filter(|(name, _)| !is_hop_by_hop(name) && !set_here.contains(name))
+        .filter(|(name, _)| !is_hop_by_hop(name) && !replaced.contains(name))
         .map(|(name, value)| (name.clone(), value.clone()));
-    let mut headers: Vec<(HeaderName, HeaderValue)> = passed.collect();
+    let mut headers: Vec<(HeaderName, HeaderValue)> = forwarded.collect();
     if let Some(tenant) = access.tenant.as_ref().and_then(|tenant| HeaderValue::from_str(&tenant.name).ok()) {
         headers.push((TENANT, tenant));
     }
@@ -210,43 +226,43 @@
     headers
 }
 
-/// Passes an answer on as it comes.
-fn pass_on(attempts: Attempts, open: Open, accepted: Accepted) -> HttpResponse {
-    let answer = &accepted.answer;
-    let mut response = HttpResponse::build(answer.status());
-    let own = answer.headers().iter().filter(|(name, _)| !is_hop_by_hop(name));
-    for (name, value) in own {
+/// Streams a server's response to the client.
+fn forward(attempts: Attempts, open: OpenRequest, active: ActiveResponse) -> HttpResponse {
+    let upstream = &active.response;
+    let mut response = HttpResponse::build(upstream.status());
+    let end_to_end = upstream.headers().iter().filter(|(name, _)| !is_hop_by_hop(name));
+    for (name, value) in end_to_end {
         response.append_header((name.clone(), value.clone()));
     }
     close_if_stopping(&attempts.plane, &mut response);
-    let length = answer.headers().get(header::CONTENT_LENGTH);
+    let length = upstream.headers().get(header::CONTENT_LENGTH);
     let length: Option<u64> = length.and_then(|value| value.to_str().ok()?.parse().ok());
     let resumable = attempts.access.route.kind == RouteKind::Streaming
         && attempts.access.route.resumable
-        && answer.status().is_success();
+        && upstream.status().is_success();
     match length {
-        _ if resumable => response.streaming(resumed::stream(attempts, open, accepted)),
-        Some(length) => response.body(SizedStream::new(length, plain(attempts, open, accepted))),
-        None => response.streaming(plain(attempts, open, accepted)),
+        _ if resumable => response.streaming(resumable_stream::stream(attempts, open, active)),
+        Some(length) => response.body(SizedStream::new(length, body_stream(attempts, open, active))),
+        None => response.streaming(body_stream(attempts, open, active)),
     }
 }
 
-/// The bytes as they come; a break is passed on as a break.
-fn plain(
+/// Passes the body on as it arrives. A body that the server cuts short is cut short for the client, too.
+fn body_stream(
     attempts: Attempts,
-    open: Open,
-    accepted: Accepted,
+    open: OpenRequest,
+    active: ActiveResponse,
 ) -> impl Stream<Item = Result<Bytes, actix_web::Error>> {
-    let Accepted { answer, ticket } = accepted;
-    let parts = Box::new((answer, attempts.watched, ticket, open));
+    let ActiveResponse { response, ticket } = active;
+    let parts = Box::new((response, attempts.timer, ticket, open));
     stream::unfold(Some(parts), |parts| async move {
         let mut parts = parts?;
         match parts.0.next().await? {
             Ok(bytes) => {
-                parts.1.piece();
+                parts.1.record_data();
                 Some((Ok(bytes), Some(parts)))
             }
-            Err(broken) => Some((Err(ErrorBadGateway(broken)), None)),
+            Err(error) => Some((Err(ErrorBadGateway(error)), None)),
         }
     })
 }
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The data plane of the serving tier.
+//! The data plane's executable: command line, settings, logging.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,15 +7,15 @@
 use tokio::task::LocalSet;
 
 const HELP: &str = "\
-fennelgauge-data-plane: takes clients' requests to servers
+fennelgauge-data-plane: routes clients' requests to model servers
 
 USAGE
-  fennelgauge-data-plane [run] [--log LEVEL] [--policy FILE]     run with the settings that FENNELGAUGE_BOOT names
+  fennelgauge-data-plane [run] [--log LEVEL] [--policy FILE]     run with the settings file named by FENNELGAUGE_BOOT
   fennelgauge-data-plane check-settings FILE     check a settings file
 
 OPTIONS
   --log LEVEL     error, warn, info, debug or trace
-  --policy FILE   mechanisms of policy to be on or off (TOML); without it the table `policy` of the settings
+  --policy FILE   policy mechanisms to switch on or off (TOML); without it the table `policy` of the settings applies
   --help, --version
 ";
 
@@ -31,7 +31,7 @@
     match subcommand.as_str() {
         "run" => run(level, policy),
         "check-settings" => check_settings(&arguments.free_from_str::<String>()?),
-        other => anyhow::bail!("{other} is no command: see --help"),
+        other => anyhow::bail!("unknown command {other:?}: see --help"),
     }
 }
 
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs a data plane: its parts, its sockets, its end.
+//! Runs a data plane: shared state, listeners, background tasks and graceful shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,109 +16,123 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-use crate::timeliness::TimelinessCounts;
-use crate::usage::{report_usage, UsageCounts};
-use crate::{front, ready};
+use crate::timeliness::TimelinessCounters;
+use crate::usage::{report_usage, UsageCounters};
+use crate::{frontend, readiness};
 
-/// After a stop is asked for, new connections still come for so long.
-const LAST_CONNECTIONS: Duration = Duration::from_millis(2_600);
-/// A request that comes on a kept connection so long after a stop was asked for may not end in time: it is refused.
-const LAST_REQUESTS: Duration = Duration::from_millis(2_900);
-/// And no later than this part of the time that a stop may take.
-const LAST_REQUESTS_PART: f64 = 0.4;
-/// An answer's last bytes leave within so long.
-const ANSWER_LEAVES: Duration = Duration::from_millis(30);
-/// Left of the time for a stop when the last requests are given up.
-const STOP_MARGIN: Duration = Duration::from_millis(600);
-const POOL_EVERY: Duration = Duration::from_millis(500);
-/// The list is read here once what the control plane tells is so old.
-const OWN_LIST_AFTER: Duration = Duration::from_millis(2_500);
-/// All that the parts of a data plane share.
-pub struct Plane {
+/// How long after a stop is requested new connections keep arriving, until clients have noticed that the process is no longer
+/// ready.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(2_600);
+/// Requests on kept-alive connections are refused from this long after a stop is requested, since they may not finish in time.
+const NEW_REQUEST_GRACE: Duration = Duration::from_millis(2_900);
+/// Upper bound of [`NEW_REQUEST_GRACE`] as a share of the time that a stop may take.
+const MAX_NEW_REQUEST_GRACE_SHARE: f64 = 0.4;
+/// Time in which the last bytes of a response are written to its connection.
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(30);
+/// Reserve at the end of the time that a stop may take; open requests are abandoned when only this is left.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
+const POOL_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Age of the control plane's server list from which this process reads the list from the platform itself.
+const MAX_SERVER_LIST_AGE: Duration = Duration::from_millis(2_500);
+
+/// State that the tasks of a data plane share.
+pub struct DataPlane {
     pub settings: Settings,
+    /// The configuration, server list and views received so far.
     pub known: Rc<Known>,
     pub caller: Caller,
+    /// The servers to choose from, with their load and failures.
     pub pool: Pool,
+    /// Sends requests to servers.
     pub sender: Sender,
-    pub usage: RefCell<UsageCounts>,
-    pub timeliness: RefCell<TimelinessCounts>,
-    /// Requests being answered.
-    pub open: Cell<usize>,
-    /// When the last of them ended.
-    pub last_ended: Cell<Instant>,
-    /// Since when a stop is asked for.
-    pub stopping: Cell<Option<Instant>>,
-    ready: Cell<bool>,
-    started: Instant,
+    pub usage: RefCell<UsageCounters>,
+    pub timeliness: RefCell<TimelinessCounters>,
+    /// Number of client requests whose response is not complete.
+    pub open_requests: Cell<usize>,
+    /// When a client request was last completed; the process's start before the first one.
+    pub last_request_ended_at: Cell<Instant>,
+    /// When a stop was requested; `None` while the process is running normally.
+    pub stop_requested_at: Cell<Option<Instant>>,
+    /// Whether a configuration and servers were available at some time.
+    was_ready: Cell<bool>,
+    started_at: Instant,
 }
 
-impl Plane {
+impl DataPlane {
+    /// Creates the state of a process that knows nothing yet and has no open requests.
     pub fn new(settings: Settings) -> Self {
         let caller = Caller::with_source(settings.calls_leave_from());
         Self {
-            usage: RefCell::new(UsageCounts::new(settings.bounds.usage_window_s)),
+            usage: RefCell::new(UsageCounters::new(settings.bounds.usage_window_s)),
             pool: Pool::new(&settings.zone, &settings.policy),
             sender: Sender::new(&settings.policy),
             settings,
             timeliness: RefCell::default(),
             known: Rc::new(Known::default()),
             caller,
-            open: Cell::new(0),
-            last_ended: Cell::new(Instant::now()),
-            stopping: Cell::new(None),
-            ready: Cell::new(false),
-            started: Instant::now(),
+            open_requests: Cell::new(0),
+            last_request_ended_at: Cell::new(Instant::now()),
+            stop_requested_at: Cell::new(None),
+            was_ready: Cell::new(false),
+            started_at: Instant::now(),
         }
     }
 
+    /// Whether a stop was requested.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.stop_requested_at.get().is_some()
     }
 
-    /// Whether a request that is read now could be cut off by this process's end.
-    pub fn takes_no_more(&self) -> bool {
-        let last = LAST_REQUESTS.min(self.settings.grace().mul_f64(LAST_REQUESTS_PART));
-        self.stopping.get().is_some_and(|since| since.elapsed() > last)
+    /// Whether a request that arrives now is refused, because the process could end before its response is complete.
+    pub fn refuses_new_requests(&self) -> bool {
+        let grace = NEW_REQUEST_GRACE.min(self.settings.grace().mul_f64(MAX_NEW_REQUEST_GRACE_SHARE));
+        self.stop_requested_at.get().is_some_and(|since| since.elapsed() > grace)
     }
 
-    /// Whether no request is open and the last answer has left.
-    fn is_quiet(&self) -> bool {
-        self.open.get() == 0 && self.last_ended.get().elapsed() >= ANSWER_LEAVES
+    /// Whether no request is open and the last response has been written.
+    fn is_drained(&self) -> bool {
+        self.open_requests.get() == 0 && self.last_request_ended_at.get().elapsed() >= RESPONSE_FLUSH_TIME
     }
 
-    /// Whether clients may come: a configuration and some servers are known, and no stop was asked for. Only a source that is
-    /// in touch with a majority gives out a configuration, so what is known was in force when it came.
+    /// Whether the platform may send clients: a configuration and some servers have been received, and no stop was requested.
+    /// Only a source whose view a majority confirmed a moment ago sends a configuration, so it was in force when it arrived.
     pub fn is_ready(&self) -> bool {
-        if !self.ready.get() {
-            let servers = !self.known.servers().servers.is_empty();
-            self.ready.set(self.known.table().is_some() && servers);
+        if !self.was_ready.get() {
+            let has_servers = !self.known.servers().servers.is_empty();
+            self.was_ready.set(self.known.table().is_some() && has_servers);
         }
-        self.ready.get() && !self.is_stopping()
+        self.was_ready.get() && !self.is_stopping()
     }
 }
 
-/// Runs until a signal ends it.
+/// Runs a data plane until a signal stops it. Errs if a listener can't be bound.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
-    let plane = Rc::new(Plane::new(settings));
-    let peers = TcpListener::bind(plane.settings.data_peer_address()).await?;
+    let plane = Rc::new(DataPlane::new(settings));
+    let peer_listener = TcpListener::bind(plane.settings.data_peer_address()).await?;
     let known = plane.known.clone();
-    spawn_local(serve(peers, move |request| answer(known.clone(), request)));
+    spawn_local(serve(peer_listener, move |request| answer_peer(known.clone(), request)));
     spawn_local(subscribe(plane.known.clone(), plane.caller.clone(), Subscription::new(&plane.settings)));
-    spawn_local(keep_pool(plane.clone()));
-    let life = getrandom::u64().unwrap_or(1);
-    let sharing = Subscription::new(&plane.settings);
-    spawn_local(share_uses(plane.pool.clone(), plane.known.clone(), plane.caller.clone(), sharing, life));
+    spawn_local(update_pool(plane.clone()));
+    let incarnation = getrandom::u64().unwrap_or(1);
+    let stats_subscription = Subscription::new(&plane.settings);
+    spawn_local(share_uses(
+        plane.pool.clone(),
+        plane.known.clone(),
+        plane.caller.clone(),
+        stats_subscription,
+        incarnation,
+    ));
     spawn_local(keep_reachable(plane.pool.clone(), plane.sender.clone()));
     spawn_local(report_usage(plane.clone()));
     if let Some(address) = plane.settings.listen.ready {
-        let app = App::new().app_data(Data::new(plane.clone())).configure(ready::routes);
+        let app = App::new().app_data(Data::new(plane.clone())).configure(readiness::routes);
         spawn_local(serve_http(TcpListener::bind(address).await?, app, HttpTimes::default()));
     }
     if let Some(address) = plane.settings.listen.front {
         let app = App::new()
-            .app_data(PayloadConfig::new(front::MAX_BODY_BYTES))
+            .app_data(PayloadConfig::new(frontend::MAX_BODY_BYTES))
             .app_data(Data::new(plane.clone()))
-            .configure(front::routes);
+            .configure(frontend::routes);
         let times = HttpTimes { head: Duration::from_secs(5), idle: Duration::from_secs(60) };
         spawn_local(serve_http(TcpListener::bind(address).await?, app, times));
     }
@@ -127,45 +141,53 @@
     Ok(())
 }
 
-/// Says that it is no longer ready, answers what comes meanwhile, and waits for the last answers.
-async fn stop(plane: &Plane) {
-    let began = Instant::now();
-    let until = plane.settings.grace().saturating_sub(STOP_MARGIN);
-    plane.stopping.set(Some(began));
-    sleep(LAST_CONNECTIONS.min(until)).await;
-    // After the last check nothing is awaited: a request that is read after it has nobody to answer it.
-    while !plane.is_quiet() && began.elapsed() < until {
+/// Shuts down gracefully: reports the process as not ready, keeps answering requests that still arrive, and waits until the
+/// last responses are written or the time for a stop is used up.
+async fn stop(plane: &DataPlane) {
+    let stop_requested_at = Instant::now();
+    let time_limit = plane.settings.grace().saturating_sub(SHUTDOWN_MARGIN);
+    plane.stop_requested_at.set(Some(stop_requested_at));
+    sleep(NEW_CONNECTION_GRACE.min(time_limit)).await;
+    // Nothing may be awaited after the last check: a request that was read in between would get no response.
+    while !plane.is_drained() && stop_requested_at.elapsed() < time_limit {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn answer(known: Rc<Known>, request: Request) -> Reply {
+/// Answers a call from another process: data planes pass on what they received from the control plane.
+async fn answer_peer(known: Rc<Known>, request: Request) -> Reply {
     match request {
         Request::Watch(watch) => Reply::Watch(Box::new(known.answer(&watch).await)),
         _ => Reply::Unsupported,
     }
 }
 
-/// Keeps the pool level with the list; reads the list itself while the control plane is silent.
-async fn keep_pool(plane: Rc<Plane>) {
+/// Keeps the pool and the connections up to date with the server list; never returns. Reads the list from the platform while
+/// the control plane's list is out of date.
+async fn update_pool(plane: Rc<DataPlane>) {
     let client = client();
     let mut reader = Reader::new(getrandom::u64().unwrap_or(1));
     loop {
         plane.pool.update(&plane.known.servers());
         plane.sender.keep_only(&plane.known.servers().servers);
-        let silent = plane.known.servers_age().is_none_or(|age| age > OWN_LIST_AFTER);
-        let long_up = plane.started.elapsed() > OWN_LIST_AFTER * 2;
-        if let (true, true, Some(platform)) = (silent, long_up, plane.settings.cloud.addr) {
-            let began = Instant::now();
+        let is_outdated = plane.known.servers_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
+        // Gives the control plane time to send the first list after this process has started.
+        let is_settled = plane.started_at.elapsed() > MAX_SERVER_LIST_AGE * 2;
+        if let (true, true, Some(platform)) = (is_outdated, is_settled, plane.settings.cloud.addr) {
+            let requested_at = Instant::now();
             match read_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.take_servers(Some(reader.numbered(servers)), began.elapsed());
+                    plane.known.take_servers(Some(reader.numbered(servers)), requested_at.elapsed());
                     plane.pool.update(&plane.known.servers());
                 }
-                Err(reason) => log::warn!("{reason}"),
+                Err(error) => {
+                    log::warn!(
+                        "direct read of the server list from the platform at {platform} failed: {error}"
+                    )
+                }
             }
         }
-        let _ = tokio::time::timeout(POOL_EVERY, plane.known.changed()).await;
+        let _ = tokio::time::timeout(POOL_UPDATE_INTERVAL, plane.known.changed()).await;
     }
 }
 
--- a/crates/data-plane/src/ready.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,18 +1,18 @@
-//! Tells the platform whether clients may come.
+//! The readiness probe that the platform calls before it sends clients to this process.
 
 use std::rc::Rc;
 
 use actix_web::web::{self, Data};
 use actix_web::HttpResponse;
 
-use crate::process::Plane;
+use crate::process::DataPlane;
 
-/// `GET /-/ready`.
+/// Registers `GET /-/ready`.
 pub fn routes(service: &mut web::ServiceConfig) {
     service.route("/-/ready", web::get().to(ready));
 }
 
-async fn ready(plane: Data<Rc<Plane>>) -> HttpResponse {
+async fn ready(plane: Data<Rc<DataPlane>>) -> HttpResponse {
     match plane.is_ready() {
         true => HttpResponse::Ok().finish(),
         false => HttpResponse::ServiceUnavailable().finish(),
--- /dev/null
+++ b/crates/data-plane/src/resumable_stream.rs
@@ -0,0 +1,126 @@
+//! Streams of events that continue at another server when a server fails. The client gets complete events only, each once.
+
+use std::time::Duration;
+
+use actix_web::error::ErrorBadGateway;
+use actix_web::web::Bytes;
+use fennelgauge_upstream::{BrokenOff, EventOrder, EventReader};
+use futures_util::stream::{self, Stream};
+use tokio::time::{timeout, Instant};
+
+use crate::frontend::OpenRequest;
+use crate::live::{ActiveResponse, Attempts};
+
+struct ResumableStream {
+    attempts: Attempts,
+    /// The response that is being read; `None` after it failed.
+    active: Option<ActiveResponse>,
+    reader: EventReader,
+    order: EventOrder,
+    /// Whether the current response contained an event that is not the next one. The rest of it is discarded.
+    out_of_order: bool,
+    _open: OpenRequest,
+}
+
+enum Step {
+    /// One or more complete events.
+    Events(Bytes),
+    End,
+    /// The stream failed and could not be continued.
+    Failed,
+}
+
+/// Passes on the events of a response. After a failure the stream continues at another server, as long as the request's
+/// deadline and the route's retries allow it.
+pub(crate) fn stream(
+    attempts: Attempts,
+    open: OpenRequest,
+    active: ActiveResponse,
+) -> impl Stream<Item = Result<Bytes, actix_web::Error>> {
+    let resumable = ResumableStream {
+        attempts,
+        active: Some(active),
+        reader: EventReader::default(),
+        order: EventOrder::default(),
+        out_of_order: false,
+        _open: open,
+    };
+    stream::unfold(Some(Box::new(resumable)), |resumable| async move {
+        let mut resumable = resumable?;
+        match resumable.next().await {
+            Step::Events(bytes) => Some((Ok(bytes), Some(resumable))),
+            Step::End => None,
+            Step::Failed => Some((Err(ErrorBadGateway("the stream broke off")), None)),
+        }
+    })
+}
+
+impl ResumableStream {
+    async fn next(&mut self) -> Step {
+        loop {
+            if std::mem::take(&mut self.out_of_order) && !self.resume_elsewhere().await {
+                return Step::Failed;
+            }
+            let idle_timeout = self.idle_timeout();
+            let Some(active) = self.active.as_mut() else { return Step::Failed };
+            let next = timeout(idle_timeout, active.response.next()).await;
+            match next.unwrap_or(Some(Err(BrokenOff))) {
+                Some(Ok(bytes)) => {
+                    self.reader.push(&bytes);
+                    let events = self.complete_events();
+                    if !events.is_empty() {
+                        self.attempts.timer.record_data();
+                        return Step::Events(events);
+                    }
+                }
+                None if !self.reader.has_rest() => return Step::End,
+                Some(Err(_)) | None => {
+                    if !self.resume_elsewhere().await {
+                        return Step::Failed;
+                    }
+                }
+            }
+        }
+    }
+
+    /// How long the server may send nothing before the stream continues elsewhere. Where no other server may run the
+    /// request, this is the time to the request's deadline.
+    fn idle_timeout(&self) -> Duration {
+        match self.attempts.may_leave_idle_server(self.attempts.runs) {
+            true => self.attempts.idle_timeout(),
+            false => self.attempts.deadline.saturating_duration_since(Instant::now()),
+        }
+    }
+
+    /// Takes the complete events from the reader, up to the first one that is out of order.
+    fn complete_events(&mut self) -> Bytes {
+        let mut bytes = Vec::new();
+        for event in self.reader.by_ref() {
+            if !self.order.take(&event) {
+                self.out_of_order = true;
+                break;
+            }
+            bytes.extend_from_slice(&event.bytes);
+        }
+        Bytes::from(bytes)
+    }
+
+    /// Counts a failure of the current server and continues after the last event at another one. Returns whether that
+    /// succeeded.
+    async fn resume_elsewhere(&mut self) -> bool {
+        if let Some(failed) = self.active.take() {
+            self.attempts.plane.pool.failed(&failed.ticket.server.id);
+        }
+        self.reader = EventReader::default();
+        if self.attempts.runs >= self.attempts.max_runs() {
+            return false;
+        }
+        match self.attempts.next_response(self.order.last()).await {
+            Ok(active) if active.response.status().is_success() => {
+                self.active = Some(active);
+                true
+            }
+            _ => false,
+        }
+    }
+}
--- a/crates/data-plane/src/timeliness.rs
+++ b/crates/data-plane/src/timeliness.rs
@@ -1,4 +1,5 @@
-//! Whether answers come in time, by service: the head of the core orders servers by it.
+//! Counts responses that missed their route's latency objectives, by service. The head of the core scales the servers of a
+//! service by these counts.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,79 +9,82 @@
 use fennelgauge_wire::ServiceTimeliness;
 use tokio::time::Instant;
 
-use crate::process::Plane;
+use crate::process::DataPlane;
 
-/// Answers and late answers of each service since the process's start.
+/// Responses and late responses of each service since the process's start.
 #[derive(Default)]
-pub struct TimelinessCounts {
+pub struct TimelinessCounters {
     services: BTreeMap<String, Counts>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Counts {
-    answers: u64,
+    responses: u64,
     late: u64,
 }
 
-impl TimelinessCounts {
+impl TimelinessCounters {
     fn count(&mut self, service: &str, late: bool) {
         let counts = self.services.entry(service.to_owned()).or_default();
-        counts.answers += 1;
+        counts.responses += 1;
         counts.late += u64::from(late);
     }
 
-    /// All counts.
+    /// Returns the counts of all services, to be reported to the core.
     pub fn report(&self) -> Vec<ServiceTimeliness> {
-        let told = |(service, counts): (&String, &Counts)| ServiceTimeliness {
+        let report = |(service, counts): (&String, &Counts)| ServiceTimeliness {
             service: service.clone(),
-            responses: counts.answers,
+            responses: counts.responses,
             late: counts.late,
         };
-        self.services.iter().map(told).collect()
+        self.services.iter().map(report).collect()
     }
 }
 
-/// Watches one answer; counted when dropped.
-pub struct Watched {
-    plane: Rc<Plane>,
+/// Measures one response against its route's objectives. The response is counted when the timer is dropped.
+pub struct ResponseTimer {
+    plane: Rc<DataPlane>,
     service: String,
-    due: Duration,
-    longest_pause: Duration,
-    last: Instant,
-    begun: bool,
+    /// Longest time to the first data that is not late.
+    first_data_limit: Duration,
+    /// Longest pause after that which is not late.
+    pause_limit: Duration,
+    /// When the latest data arrived; the start of the request before there is any.
+    last_data_at: Instant,
+    has_data: bool,
     late: bool,
 }
 
-impl Watched {
-    /// Begins with the request.
-    pub fn new(plane: Rc<Plane>, service: &str, route: &Route) -> Self {
-        let in_time = |ms: u64| if ms == 0 { Duration::MAX } else { Duration::from_millis(ms) };
+impl ResponseTimer {
+    /// Starts timing a request now. An objective of 0 in the route means that there is none.
+    pub fn new(plane: Rc<DataPlane>, service: &str, route: &Route) -> Self {
+        let limit = |ms: u64| if ms == 0 { Duration::MAX } else { Duration::from_millis(ms) };
         Self {
             plane,
             service: service.to_owned(),
-            due: in_time(route.target_ms),
-            longest_pause: in_time(route.gap_aim_ms),
-            last: Instant::now(),
-            begun: false,
+            first_data_limit: limit(route.target_ms),
+            pause_limit: limit(route.gap_aim_ms),
+            last_data_at: Instant::now(),
+            has_data: false,
             late: false,
         }
     }
 
-    /// A piece of the answer came.
-    pub fn piece(&mut self) {
-        let most = if self.begun { self.longest_pause } else { self.due };
-        self.late |= self.last.elapsed() > most;
-        self.begun = true;
-        self.last = Instant::now();
+    /// Records that the head or a part of the body of the response arrived now.
+    pub fn record_data(&mut self) {
+        let limit = if self.has_data { self.pause_limit } else { self.first_data_limit };
+        self.late |= self.last_data_at.elapsed() > limit;
+        self.has_data = true;
+        self.last_data_at = Instant::now();
     }
 
-    /// There will be no answer.
-    pub fn fail(&mut self) {
+    /// Counts the response as late because the request failed.
+    pub fn record_failure(&mut self) {
         self.late = true;
     }
 }
 
-impl Drop for Watched {
+impl Drop for ResponseTimer {
     fn drop(&mut self) {
         self.plane.timeliness.borrow_mut().count(&self.service, self.late);
     }
--- a/crates/data-plane/src/usage.rs
+++ b/crates/data-plane/src/usage.rs
@@ -1,4 +1,5 @@
-//! Counts requests that began to run, by window and tenant, and tells the counts to the head of the core.
+//! Counts the live requests of each tenant that a server began to answer successfully, by window, and reports the counts to
+//! the core.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,33 +10,33 @@
 use futures_util::future::join_all;
 use tokio::time::sleep;
 
-use crate::process::Plane;
+use crate::process::DataPlane;
 
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
-/// The other links are told each so many rounds.
-const OTHERS_EACH: u64 = 3;
-/// Windows that are told again, in case the head has changed.
-const WINDOWS_TOLD: usize = 4;
+/// Every third report goes to all machines of the core's chain, the others only to the head.
+const REPORTS_PER_CHAIN_REPORT: u64 = 3;
+/// Windows that are kept and sent with each report, so that a new head of the core gets the recent ones, too.
+const MAX_WINDOWS: usize = 4;
 
-/// Counts of the newest windows.
-pub struct UsageCounts {
-    width_s: f64,
-    life: u64,
+/// Requests of each tenant in the newest windows.
+pub struct UsageCounters {
+    window_s: f64,
+    incarnation: u64,
     windows: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-impl UsageCounts {
-    /// For windows of so many seconds.
-    pub fn new(width_s: f64) -> Self {
-        Self { width_s, life: getrandom::u64().unwrap_or(1), windows: BTreeMap::new() }
+impl UsageCounters {
+    /// Creates counters for windows of `window_s` seconds and draws the incarnation that identifies this run.
+    pub fn new(window_s: f64) -> Self {
+        Self { window_s, incarnation: getrandom::u64().unwrap_or(1), windows: BTreeMap::new() }
     }
 
-    /// A request of the tenant's began now.
+    /// Counts a request of a tenant in the current window.
     pub fn count(&mut self, tenant: &str) {
-        let window = (wall_clock().as_secs_f64() / self.width_s) as u64;
+        let window = (wall_clock().as_secs_f64() / self.window_s) as u64;
         *self.windows.entry(window).or_default().entry(tenant.to_owned()).or_default() += 1;
-        while self.windows.len() > WINDOWS_TOLD {
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -45,30 +46,35 @@
             window: *window,
             tenant_counts: counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect(),
         });
-        UsageReport { node: node.to_owned(), incarnation: self.life, windows: windows.collect(), timeliness }
+        UsageReport {
+            node: node.to_owned(),
+            incarnation: self.incarnation,
+            windows: windows.collect(),
+            timeliness,
+        }
     }
 }
 
-/// Tells the counts without end: to the head each time, to the other links of the chain now and then, so that the next
-/// head knows those of processes that have ended since.
-pub async fn report_usage(plane: Rc<Plane>) {
+/// Reports the counts periodically; never returns. Every report goes to the head of the core and some to the rest of the
+/// chain, so that the next head also has the counts of processes that have ended in the meantime.
+pub async fn report_usage(plane: Rc<DataPlane>) {
     for round in 0_u64.. {
-        sleep(REPORT_EVERY).await;
+        sleep(REPORT_INTERVAL).await;
         let Some(view) = plane.known.view() else { continue };
         let timeliness = plane.timeliness.borrow().report();
         let report = plane.usage.borrow().report(&plane.settings.node, timeliness);
         if report.windows.is_empty() && report.timeliness.is_empty() {
             continue;
         }
-        let told = if round % OTHERS_EACH == 0 { view.chain.len() } else { 1 };
+        let receivers = if round % REPORTS_PER_CHAIN_REPORT == 0 { view.chain.len() } else { 1 };
         let calls = view
             .chain
             .iter()
-            .take(told)
-            .map(|link| plane.caller.call(link.peer, Request::Usage(report.clone()), REPORT_TIMEOUT));
-        for told in join_all(calls).await {
-            if let Err(reason) = told {
-                log::info!("usage is told again: {reason}");
+            .take(receivers)
+            .map(|member| plane.caller.call(member.peer, Request::Usage(report.clone()), REPORT_TIMEOUT));
+        for reply in join_all(calls).await {
+            if let Err(error) = reply {
+                log::info!("failed to report usage, the next report repeats it: {error}");
             }
         }
     }
--- a/crates/data-plane/tests/process.rs
+++ b/crates/data-plane/tests/process.rs
@@ -1,4 +1,5 @@
-//! The data plane as a process: its command line, its signals, what it answers before it knows anything.
+//! Tests of the data plane's executable: command line, signals, malformed requests, and its responses before it has received
+//! a configuration.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,124 +8,130 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_fennelgauge-data-plane");
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for anything that the process is expected to do.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Started {
+/// A running data plane without a control plane; killed when dropped.
+struct RunningDataPlane {
     process: Child,
-    front: SocketAddr,
-    settings: PathBuf,
+    client_address: SocketAddr,
+    settings_file: PathBuf,
 }
 
-impl Started {
-    fn new(test: &str) -> Self {
-        let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let (front, peer) = (free(), free());
-        let settings =
+impl RunningDataPlane {
+    /// Starts the process and waits until it listens. `test` is part of the name of its settings file.
+    fn start(test: &str) -> Self {
+        let free_address = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let (client_address, peer_address) = (free_address(), free_address());
+        let settings_file =
             std::env::temp_dir().join(format!("fennelgauge-process-{test}-{}.toml", std::process::id()));
         let text = format!(
             "node = \"edge-1\"\nserves = [\"edge\"]\nip = \"127.0.0.1\"\nzone = \"z\"\n\
-             port_range = [{}, {}]\nseeds = []\n[listen]\nfront = \"{front}\"\n[bounds]\ngrace_s = 3\n",
-            peer.port() - 1,
-            peer.port() + 3,
+             port_range = [{}, {}]\nseeds = []\n[listen]\nfront = \"{client_address}\"\n[bounds]\ngrace_s = 3\n",
+            peer_address.port() - 1,
+            peer_address.port() + 3,
         );
-        std::fs::write(&settings, text).expect("settings");
+        std::fs::write(&settings_file, text).expect("settings");
         let mut command = Command::new(PROGRAM);
-        command.arg("run").env("FENNELGAUGE_BOOT", &settings).stderr(Stdio::null());
-        let started = Self { process: command.spawn().expect("starts"), front, settings };
-        let began = Instant::now();
-        while TcpStream::connect(front).is_err() {
-            assert!(began.elapsed() < PATIENCE, "it does not listen");
+        command.arg("run").env("FENNELGAUGE_BOOT", &settings_file).stderr(Stdio::null());
+        let running = Self { process: command.spawn().expect("starts"), client_address, settings_file };
+        let started_at = Instant::now();
+        while TcpStream::connect(client_address).is_err() {
+            assert!(started_at.elapsed() < TIMEOUT, "the process does not listen");
             std::thread::yield_now();
         }
-        started
+        running
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.process.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success());
+        let status = Command::new("kill").args([name, &self.process.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 
-    fn ask(&self) -> String {
-        let mut stream = TcpStream::connect(self.front).expect("connected");
+    /// Sends a complete request and returns the response in lower case.
+    fn request(&self) -> String {
+        let mut stream = TcpStream::connect(self.client_address).expect("connected");
         let request = "POST /a/1 HTTP/1.1\r\nHost: h\r\nX-Fennelgauge-Request-Id: 1\r\nContent-Length: 2\r\n\
                        Connection: close\r\n\r\nhi";
         stream.write_all(request.as_bytes()).expect("written");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        answer.to_ascii_lowercase()
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        response.to_ascii_lowercase()
     }
 }
 
-impl Drop for Started {
+impl Drop for RunningDataPlane {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.settings);
+        let _ = std::fs::remove_file(&self.settings_file);
     }
 }
 
 #[test]
-fn before_the_first_configuration_it_refuses_with_a_time_to_come_back() {
-    let started = Started::new("early");
-    let answer = started.ask();
-    assert!(answer.starts_with("http/1.1 503"), "{answer}");
-    assert!(answer.contains("retry-after: 0.300"), "{answer}");
+fn requests_before_the_first_configuration_are_refused_with_retry_after() {
+    let running = RunningDataPlane::start("early");
+    let response = running.request();
+    assert!(response.starts_with("http/1.1 503"), "{response}");
+    assert!(response.contains("retry-after: 0.300"), "{response}");
 }
 
 #[test]
-fn a_hangup_ends_nothing_and_a_stop_answers_what_still_comes() {
-    let mut started = Started::new("signals");
-    started.signal("-HUP");
-    assert!(started.ask().starts_with("http/1.1 503"));
-    assert!(started.process.try_wait().expect("asked").is_none(), "a hangup ends nothing");
-    started.signal("-TERM");
-    let answer = started.ask();
-    assert!(answer.starts_with("http/1.1 503") && answer.contains("connection: close"), "{answer}");
-    assert!(started.process.wait().expect("ends").success());
+fn sighup_is_ignored_and_requests_after_sigterm_are_still_answered() {
+    let mut running = RunningDataPlane::start("signals");
+    running.signal("-HUP");
+    assert!(running.request().starts_with("http/1.1 503"));
+    assert!(running.process.try_wait().expect("a status").is_none(), "SIGHUP does not end the process");
+    running.signal("-TERM");
+    let response = running.request();
+    assert!(response.starts_with("http/1.1 503") && response.contains("connection: close"), "{response}");
+    assert!(running.process.wait().expect("ends").success());
 }
 
-/// What comes back for raw bytes until the connection ends.
-fn raw(front: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(front).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+/// Sends raw bytes and returns all that is received until the connection is closed, in lower case.
+fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(address).expect("connected");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let _ = stream.write_all(bytes);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).to_ascii_lowercase()
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    String::from_utf8_lossy(&received).to_ascii_lowercase()
 }
 
+/// A malformed or ambiguous request gets at most one response, an error, and its connection is closed. Otherwise a client
+/// could smuggle a second request past the first.
 #[test]
-fn what_is_no_clear_request_is_refused_and_its_connection_closed() {
-    let started = Started::new("unclear");
-    let large = format!("GET /a HTTP/1.1\r\nHost: h\r\nX-Large: {}\r\n\r\n", "x".repeat(400_000));
+fn malformed_requests_are_rejected_and_their_connections_closed() {
+    let running = RunningDataPlane::start("unclear");
+    let large_head = format!("GET /a HTTP/1.1\r\nHost: h\r\nX-Large: {}\r\n\r\n", "x".repeat(400_000));
     let cases: [(&str, &[u8]); 7] = [
-        ("no HTTP", b"hello\r\n\r\n"),
+        ("not HTTP", b"hello\r\n\r\n"),
         ("two lengths", b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
         (
-            "a length and chunks",
+            "both a length and chunks",
             b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n",
         ),
-        ("no such coding", b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: zipped\r\n\r\nabc"),
-        ("a length that is no number", b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: two\r\n\r\nab"),
-        ("a wrong chunk", b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n"),
-        ("too large a head", large.as_bytes()),
+        ("unknown transfer coding", b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: zipped\r\n\r\nabc"),
+        ("a length that is not a number", b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: two\r\n\r\nab"),
+        ("a malformed chunk size", b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n"),
+        ("a head beyond the size limit", large_head.as_bytes()),
     ];
     for (name, bytes) in cases {
-        let answer = raw(started.front, bytes);
-        let answers = answer.matches("http/1.1 ").count();
-        let refused = answer.is_empty() || answer.starts_with("http/1.1 4");
-        assert!(refused && answers <= 1, "{name}: {answer}");
+        let received = exchange(running.client_address, bytes);
+        let responses = received.matches("http/1.1 ").count();
+        let rejected = received.is_empty() || received.starts_with("http/1.1 4");
+        assert!(rejected && responses <= 1, "{name}: {received}");
     }
-    assert!(started.ask().starts_with("http/1.1 503"), "others are served on");
+    assert!(running.request().starts_with("http/1.1 503"), "other connections are still served");
 }
 
 #[test]
-fn a_head_that_does_not_end_is_not_waited_for() {
-    let started = Started::new("slow");
-    let began = Instant::now();
-    let answer = raw(started.front, b"POST /a HTTP/1.1\r\nHost:");
-    assert!(answer.is_empty() || answer.starts_with("http/1.1 408"), "{answer}");
-    assert!(began.elapsed() < PATIENCE / 2);
+fn incomplete_request_head_times_out() {
+    let running = RunningDataPlane::start("slow");
+    let sent_at = Instant::now();
+    let received = exchange(running.client_address, b"POST /a HTTP/1.1\r\nHost:");
+    assert!(received.is_empty() || received.starts_with("http/1.1 408"), "{received}");
+    assert!(sent_at.elapsed() < TIMEOUT / 2);
 }
 
 fn run(arguments: &[&str], settings: Option<&str>) -> Output {
@@ -137,7 +144,7 @@
 }
 
 #[test]
-fn the_command_line_tells_what_is_wrong_and_what_to_do() {
+fn command_line_errors_name_the_fault_and_the_remedy() {
     type Case = (&'static str, &'static [&'static str], Option<&'static str>, i32, &'static str);
     let cases: [Case; 6] = [
         ("help", &["--help"], None, 0, "check-settings"),
