--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// Keeps this machine's part in the core, without end.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         loop {
             self.take(|coordinator, now| ((), coordinator.tick(now))).await;
             sleep(TICK_EVERY).await;
@@ -97,7 +97,7 @@
     }
 
     /// Takes a message of another machine's.
-    pub async fn hear(self: Rc<Self>, envelope: Envelope) {
+    pub async fn handle_message(self: Rc<Self>, envelope: Envelope) {
         if self.waiting.get() >= MOST_WAITING {
             return;
         }
--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -50,7 +50,7 @@
         let cut_off = Rc::new(Cell::new(false));
         let answering = (core.clone(), cut_off.clone());
         spawn_local(serve(listener, move |request| answer(answering.clone(), request)));
-        let keeping = spawn_local(core.clone().keep());
+        let keeping = spawn_local(core.clone().run());
         machines.push(Machine { core, cut_off, keeping });
     }
     machines
@@ -61,7 +61,7 @@
         _ if cut_off.get() => std::future::pending().await,
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
-            spawn_local(core.hear(*envelope));
+            spawn_local(core.handle_message(*envelope));
             Reply::Noted
         }
         _ => Reply::NotHere,
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,4 +1,4 @@
-//! Whether a disk that a thread of its own writes does its work.
+//! Health of a disk, judged by the writes that a separate thread makes to it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -6,38 +6,38 @@
 
 use tokio::time::Instant;
 
-/// A write that takes longer than this is a sign of a disk in trouble.
-const SLOW_WRITE: Duration = Duration::from_millis(800);
+/// A disk counts as unhealthy while a write has taken longer than this.
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(800);
 
-/// Whether a disk does its work.
+/// Tracks pending and failed writes of one disk.
 #[derive(Debug, Default)]
 pub struct DiskHealth {
-    /// When the oldest write that is not done was handed over.
-    waiting_since: RefCell<VecDeque<Instant>>,
+    /// When each pending write was handed to the writing thread, oldest first.
+    pending_since: RefCell<VecDeque<Instant>>,
     failed: Cell<bool>,
 }
 
 impl DiskHealth {
-    /// A write is handed over.
+    /// Records that a write is handed to the writing thread.
     pub fn begin(&self) {
-        self.waiting_since.borrow_mut().push_back(Instant::now());
+        self.pending_since.borrow_mut().push_back(Instant::now());
     }
 
-    /// The oldest write has ended.
-    pub fn end(&self, written: bool) {
-        self.waiting_since.borrow_mut().pop_front();
-        self.failed.set(!written);
+    /// Records that the oldest pending write has ended, and whether it succeeded.
+    pub fn end(&self, succeeded: bool) {
+        self.pending_since.borrow_mut().pop_front();
+        self.failed.set(!succeeded);
     }
 
-    /// Whether the last write failed.
+    /// Returns true if the last write failed.
     pub fn has_failed(&self) -> bool {
         self.failed.get()
     }
 
-    /// Whether the last write failed, or one takes too long.
-    pub fn is_in_trouble(&self) -> bool {
-        let oldest = self.waiting_since.borrow().front().copied();
-        self.failed.get() || oldest.is_some_and(|since| since.elapsed() > SLOW_WRITE)
+    /// Returns true if the last write failed or a pending one has taken too long.
+    pub fn is_unhealthy(&self) -> bool {
+        let oldest = self.pending_since.borrow().front().copied();
+        self.failed.get() || oldest.is_some_and(|since| since.elapsed() > SLOW_WRITE_THRESHOLD)
     }
 }
 
--- a/crates/control-plane/src/disk/tests.rs
+++ b/crates/control-plane/src/disk/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_disk_is_in_trouble_while_a_write_takes_long_or_after_one_failed() {
+fn disk_is_unhealthy_during_a_slow_write_and_after_a_failed_one() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
@@ -9,13 +9,13 @@
         type Case = (&'static str, u64, fn(&DiskHealth), bool);
         let steps: [Case; 7] = [
             ("nothing written", 5_000, |_| (), false),
-            ("a write begins", 0, DiskHealth::begin, false),
-            ("another follows", 500, DiskHealth::begin, false),
-            ("the first takes long", 400, |_| (), true),
-            ("it is done", 0, |health| health.end(true), false),
-            ("the second fails", 100, |health| health.end(false), true),
+            ("first write begins", 0, DiskHealth::begin, false),
+            ("second write begins", 500, DiskHealth::begin, false),
+            ("first write is slow", 400, |_| (), true),
+            ("first write succeeds", 0, |health| health.end(true), false),
+            ("second write fails", 100, |health| health.end(false), true),
             (
-                "a later one is done",
+                "third write succeeds",
                 100,
                 |health| {
                     health.begin();
@@ -27,7 +27,7 @@
         for (name, wait_ms, step, expected) in steps {
             tokio::time::advance(Duration::from_millis(wait_ms)).await;
             step(&health);
-            assert_eq!(health.is_in_trouble(), expected, "{name}");
+            assert_eq!(health.is_unhealthy(), expected, "{name}");
         }
     });
 }
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -1,5 +1,8 @@
-//! Duties towards the platform: the head reports usage and orders servers. Counts of a window are fixed by the chain before they are first
-//! sent, so that whoever sends them sends the same. The fence is the epoch of the view.
+//! Calls to the platform that only the head of the core makes: reporting usage and scaling services.
+//!
+//! The counts of a usage window are committed through the chain before they are first sent, so that a later head sends
+//! the same counts. The epoch of the core's view is the fencing token of each call, so that the platform can refuse a
+//! head that has been replaced.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -14,131 +17,146 @@
 use tokio::time::{sleep, Instant};
 
 use crate::core::Core;
-use crate::scaling::{Scaler, Seen};
-
-const CHECK_EVERY: Duration = Duration::from_millis(300);
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// So long after a window's end its counts are fixed, if all processes have told theirs since; every one tells four times a second.
-const FIX_AFTER_S: f64 = 4.0;
-/// By then they are fixed without those that are silent: the platform takes reports for some seconds more.
-const FIX_AT_LAST_S: f64 = 6.5;
-/// A process counts what began in a window a moment after its end at the latest.
-const COUNTED_AFTER_S: f64 = 0.4;
-/// A process that has told nothing for so long is gone.
-const GONE_AFTER_S: f64 = 15.0;
-/// A new holder hears everybody for so long before it fixes anything.
-const HOLDER_PATIENCE: Duration = Duration::from_millis(2_200);
-/// Windows further back are not reported any more.
-const WINDOWS_BACK: u64 = 4;
-
-/// Timeliness is looked at so often.
-const LOOK_EVERY: Duration = Duration::from_millis(1_500);
-
-type Counts = BTreeMap<String, u64>;
-/// Counts by process and its life.
-type ByProcess = HashMap<(String, u64), Counts>;
-
-/// What processes told of the requests that began.
+use crate::scaling::{Scaler, ServiceLoad};
+
+/// How often the head looks for usage windows that are ready to be reported.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of a call to the platform.
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time from the end of a usage window until its counts are committed, if every live process has reported since the
+/// end. Processes report four times a second. In seconds.
+const COMMIT_DELAY_S: f64 = 4.0;
+/// Time from the end of a usage window until its counts are committed even if some process has not reported since.
+/// The platform accepts reports for some seconds more. In seconds.
+const COMMIT_DEADLINE_S: f64 = 6.5;
+/// Longest time from the start of a request until its process has counted it, so that a report made this long after
+/// a window's end holds all of the window's requests. In seconds.
+const MAX_COUNTING_DELAY_S: f64 = 0.4;
+/// A process that has not reported for this long is taken to have ended. In seconds.
+const PROCESS_EXPIRY_S: f64 = 15.0;
+/// Time for which a new head only collects reports, so that it has heard from every process before it commits counts
+/// or scales services.
+const NEW_HEAD_DELAY: Duration = Duration::from_millis(2_200);
+/// Number of past usage windows that are still reported.
+const MAX_REPORTED_WINDOWS: u64 = 4;
+
+/// How often the head decides about the number of servers.
+const SCALING_INTERVAL: Duration = Duration::from_millis(1_500);
+
+/// Requests by tenant.
+type CountsByTenant = BTreeMap<String, u64>;
+/// CountsByTenant by process: its node name and its incarnation.
+type CountsByProcess = HashMap<(String, u64), CountsByTenant>;
+
+/// Collects the reports of all processes about requests that began and about late responses.
 #[derive(Default)]
 pub struct UsageCollector {
-    windows: RefCell<BTreeMap<u64, ByProcess>>,
-    /// When each process, in each of its lives, told something last; in seconds on this machine's wall clock.
-    told_at: RefCell<HashMap<(String, u64), f64>>,
-    /// By process and its life: what it told of its answers last.
+    /// By usage window number.
+    windows: RefCell<BTreeMap<u64, CountsByProcess>>,
+    /// Time of each process's last report, in seconds of this machine's wall clock.
+    last_reported_at: RefCell<HashMap<(String, u64), f64>>,
+    /// The newest response counts of each process; they only grow while the process lives.
     timeliness: RefCell<HashMap<(String, u64), Vec<ServiceTimeliness>>>,
-    /// By service: answers and late ones since the last look.
-    fresh: RefCell<BTreeMap<String, (u64, u64)>>,
+    /// Responses and late responses by service, added up since the last call of `take_timeliness`.
+    timeliness_since_taken: RefCell<BTreeMap<String, (u64, u64)>>,
 }
 
 impl UsageCollector {
-    /// A process told its counts so far.
-    pub fn hear(&self, report: UsageReport) {
-        self.hear_timeliness((report.node.clone(), report.life), &report.timeliness);
-        self.told_at.borrow_mut().insert((report.node.clone(), report.life), wall_clock().as_secs_f64());
+    /// Takes in a process's report. The counts of a window only grow, so a report that arrives late does no harm.
+    pub fn record_report(&self, report: UsageReport) {
+        self.record_timeliness((report.node.clone(), report.life), &report.timeliness);
+        self.last_reported_at
+            .borrow_mut()
+            .insert((report.node.clone(), report.life), wall_clock().as_secs_f64());
         let mut windows = self.windows.borrow_mut();
         for counted in report.windows {
             let process = (report.node.clone(), report.life);
             let counts = windows.entry(counted.window).or_default().entry(process).or_default();
             for (tenant, count) in counted.counts {
-                let known = counts.entry(tenant).or_default();
-                *known = count.max(*known);
+                let latest = counts.entry(tenant).or_default();
+                *latest = count.max(*latest);
             }
         }
-        while windows.len() > 2 * WINDOWS_BACK as usize + 2 {
+        while windows.len() > 2 * MAX_REPORTED_WINDOWS as usize + 2 {
             windows.pop_first();
         }
     }
 
-    fn hear_timeliness(&self, process: (String, u64), told: &[ServiceTimeliness]) {
-        let before = self.timeliness.borrow_mut().insert(process, told.to_vec());
-        // The first report of a process tells of times long past.
-        let Some(before) = before else { return };
-        let mut fresh = self.fresh.borrow_mut();
-        for now in told {
-            let then = before.iter().find(|then| then.service == now.service);
-            let (answers, late) = then.map_or((0, 0), |then| (then.answers, then.late));
-            let counts = fresh.entry(now.service.clone()).or_default();
-            counts.0 += now.answers.saturating_sub(answers);
+    /// Adds what has changed since the process's previous report to the counts of each service.
+    fn record_timeliness(&self, process: (String, u64), reported: &[ServiceTimeliness]) {
+        let previous = self.timeliness.borrow_mut().insert(process, reported.to_vec());
+        // CountsByTenant run from the process's start: its first report says nothing about the present.
+        let Some(previous) = previous else { return };
+        let mut timeliness_since_taken = self.timeliness_since_taken.borrow_mut();
+        for now in reported {
+            let then = previous.iter().find(|then| then.service == now.service);
+            let (responses, late) = then.map_or((0, 0), |then| (then.answers, then.late));
+            let counts = timeliness_since_taken.entry(now.service.clone()).or_default();
+            counts.0 += now.answers.saturating_sub(responses);
             counts.1 += now.late.saturating_sub(late);
         }
     }
 
-    /// Answers and late ones of a service since the last time this was asked.
-    fn fresh_timeliness(&self, service: &str) -> (u64, u64) {
-        self.fresh.borrow_mut().remove(service).unwrap_or_default()
+    /// Returns the number of responses and of late responses of a service since the last call, and resets both.
+    fn take_timeliness(&self, service: &str) -> (u64, u64) {
+        self.timeliness_since_taken.borrow_mut().remove(service).unwrap_or_default()
     }
 
-    /// Whether every process that lives has told its counts of a window that ended at `end_s`.
-    pub fn has_all_of(&self, end_s: f64, now_s: f64) -> bool {
-        let mut told_at = self.told_at.borrow_mut();
-        told_at.retain(|_, told_s| now_s - *told_s < GONE_AFTER_S);
-        told_at.values().all(|told_s| *told_s >= end_s + COUNTED_AFTER_S)
+    /// Returns true if every live process has reported all its requests of a window that ended at `end_s`. Forgets
+    /// processes that have ended. Times are in seconds of this machine's wall clock.
+    pub fn is_window_complete(&self, end_s: f64, now_s: f64) -> bool {
+        let mut last_reported_at = self.last_reported_at.borrow_mut();
+        last_reported_at.retain(|_, reported_s| now_s - *reported_s < PROCESS_EXPIRY_S);
+        last_reported_at.values().all(|reported_s| *reported_s >= end_s + MAX_COUNTING_DELAY_S)
     }
 
-    /// The sum of a window.
-    pub fn sum(&self, window: u64) -> Counts {
+    /// Returns the requests of a window by tenant, added over all processes.
+    pub fn window_counts(&self, window: u64) -> CountsByTenant {
         let windows = self.windows.borrow();
-        let mut sum = Counts::new();
+        let mut window_counts = CountsByTenant::new();
         for counts in windows.get(&window).into_iter().flat_map(HashMap::values) {
             for (tenant, count) in counts {
-                *sum.entry(tenant.clone()).or_default() += count;
+                *window_counts.entry(tenant.clone()).or_default() += count;
             }
         }
-        sum
+        window_counts
     }
 }
 
-/// Reports usage without end, while this machine is the head.
+/// Reports usage windows to the platform while this machine is the head. Returns at once if the settings name no
+/// platform or do not list the duty; otherwise never.
 pub async fn report_usage(core: Rc<Core>, collector: Rc<UsageCollector>) {
     let Some(platform) = core.settings.cloud.addr else { return };
     if !core.settings.cloud.duties.iter().any(|duty| duty == "usage_report") {
         return;
     }
     let client = client();
-    let mut reported: Option<u64> = None;
+    let mut last_reported: Option<u64> = None;
     loop {
-        sleep(CHECK_EVERY).await;
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < HOLDER_PATIENCE {
+        sleep(USAGE_REPORT_INTERVAL).await;
+        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
             continue;
         }
         let width = core.settings.bounds.usage_window_s;
         let now_s = wall_clock().as_secs_f64();
-        let Some(newest) = (((now_s - FIX_AFTER_S) / width) as u64).checked_sub(1) else { continue };
-        let oldest = newest.saturating_sub(WINDOWS_BACK - 1);
-        let first = reported.map_or(oldest, |reported| (reported + 1).max(oldest));
+        let Some(newest) = (((now_s - COMMIT_DELAY_S) / width) as u64).checked_sub(1) else { continue };
+        let oldest = newest.saturating_sub(MAX_REPORTED_WINDOWS - 1);
+        let first = last_reported.map_or(oldest, |last| (last + 1).max(oldest));
         for window in first..=newest {
             let end_s = (window + 1) as f64 * width;
-            if now_s < end_s + FIX_AT_LAST_S && !collector.has_all_of(end_s, now_s) {
+            if now_s < end_s + COMMIT_DEADLINE_S && !collector.is_window_complete(end_s, now_s) {
                 break;
             }
             if !report_window(&core, &collector, &client, platform, window).await {
                 break;
             }
-            reported = Some(window);
+            last_reported = Some(window);
         }
     }
 }
 
+/// Commits a window's counts if they are not committed yet, and sends them. Returns true if the window is done: it was
+/// reported, the platform already has it, or it has no requests.
 async fn report_window(
     core: &Rc<Core>,
     collector: &UsageCollector,
@@ -148,7 +166,7 @@
 ) -> bool {
     let Some(state) = core.committed_state() else { return false };
     if !state.small.usage.contains_key(&window) {
-        let counts = collector.sum(window);
+        let counts = collector.window_counts(window);
         if counts.is_empty() {
             return true;
         }
@@ -156,7 +174,7 @@
             return false;
         }
     }
-    // Only what is committed is sent: what is not may be replaced by another head's counts.
+    // Only committed counts are sent: another head could replace counts that are not committed.
     let Some(state) = core.committed_state() else { return false };
     let Some(counts) = state.small.usage.get(&window) else { return false };
     let report = serde_json::json!({ "window": window, "counts": counts });
@@ -166,7 +184,8 @@
     }
 }
 
-/// A call that falls to the holder of a duty, under its fence; none if there was no answer.
+/// Calls the platform in the name of the head, with the view's epoch as fencing token. Returns the status of the
+/// response, or `None` if there was none.
 async fn call_platform(
     core: &Core,
     client: &awc::Client,
@@ -176,47 +195,48 @@
 ) -> Option<StatusCode> {
     let call = client
         .post(format!("http://{platform}/{duty}"))
-        .timeout(CALL_TIMEOUT)
+        .timeout(PLATFORM_CALL_TIMEOUT)
         .insert_header((LEASE_HOLDER, core.me.identity.node.as_str()))
         .insert_header((FENCING_TOKEN, core.epoch().to_string()))
         .send_json(body);
     match call.await {
-        Ok(answer) => {
-            if !answer.status().is_success() {
-                log::warn!("{duty} {body}: the platform answered {}", answer.status());
+        Ok(response) => {
+            if !response.status().is_success() {
+                log::warn!("platform call {duty:?} with {body}: response status {}", response.status());
             }
-            Some(answer.status())
+            Some(response.status())
         }
         Err(reason) => {
-            log::warn!("{duty} {body}: {reason}");
+            log::warn!("platform call {duty:?} with {body} failed: {reason}");
             None
         }
     }
 }
 
-/// Orders servers without end, while this machine is the head.
-pub async fn order_servers(core: Rc<Core>, collector: Rc<UsageCollector>) {
+/// Scales the services that have autoscaling bounds while this machine is the head. Returns at once if the settings
+/// name no platform or do not list the duty; otherwise never.
+pub async fn scale_services(core: Rc<Core>, collector: Rc<UsageCollector>) {
     let Some(platform) = core.settings.cloud.addr else { return };
     if !core.settings.cloud.duties.iter().any(|duty| duty == "autoscale") {
         return;
     }
     let client = client();
-    let began = Instant::now();
+    let started = Instant::now();
     let mut scalers: HashMap<String, Scaler> = HashMap::new();
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(SCALING_INTERVAL).await;
         let Some(table) = core.known.table() else { continue };
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < HOLDER_PATIENCE {
+        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
             scalers.clear();
             continue;
         }
         for service in &table.configuration.services {
             let Some(bounds) = service.autoscale else { continue };
-            let seen = seen(&core, &collector, service);
+            let load = service_load(&core, &collector, service);
             let orders =
-                scalers.entry(service.name.clone()).or_default().orders(began.elapsed(), &seen, bounds);
+                scalers.entry(service.name.clone()).or_default().scale(started.elapsed(), &load, bounds);
             for (zone, desired) in orders {
-                log::info!("{desired} servers of {} are ordered in {zone}", service.name);
+                log::info!("service {}: scaling to {desired} servers in zone {zone}", service.name);
                 let order = serde_json::json!({ "backend": service.name, "zone": zone, "desired": desired });
                 call_platform(&core, &client, platform, "scale", &order).await;
             }
@@ -224,16 +244,17 @@
     }
 }
 
-fn seen(core: &Core, collector: &UsageCollector, service: &Service) -> Seen {
-    let (answers, late) = collector.fresh_timeliness(&service.name);
-    let mut servers: BTreeMap<String, u32> = BTreeMap::new();
+/// Returns a service's responses since the last decision and its ready servers by zone.
+fn service_load(core: &Core, collector: &UsageCollector, service: &Service) -> ServiceLoad {
+    let (responses, late_responses) = collector.take_timeliness(&service.name);
+    let mut ready_servers: BTreeMap<String, u32> = BTreeMap::new();
     for server in &core.known.servers().servers {
         if server.backend == service.name {
-            let count = servers.entry(server.zone.clone()).or_default();
+            let count = ready_servers.entry(server.zone.clone()).or_default();
             *count += u32::from(server.state == ServerState::Ready);
         }
     }
-    Seen { answers, late, servers }
+    ServiceLoad { responses, late_responses, ready_servers }
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,8 @@
-//! The control plane: control state kept by a chain of machines, the operator's API, duties towards the platform, the
-//! placement of stores, and the stores themselves.
+//! The control plane of the serving tier.
+//!
+//! One program runs in two roles. A core member keeps the control state (configuration, store placement, usage
+//! counts) together with the other members of a replicated chain, serves the operator's API, and calls the platform
+//! to report usage and to scale services. A store keeps replicated groups of batch jobs and runs their items.
 
 pub mod core;
 pub mod disk;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane of the serving tier.
+//! The program of the control plane: command line and start-up.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,13 +11,13 @@
 fennelgauge-control-plane: control state, the operator's API, duties and stores
 
 USAGE
-  fennelgauge-control-plane [run] [--log LEVEL] [--policy FILE]     run with the settings that FENNELGAUGE_BOOT names
+  fennelgauge-control-plane [run] [--log LEVEL] [--policy_file FILE]     run with the settings that FENNELGAUGE_BOOT names
   fennelgauge-control-plane check-settings FILE     check a settings file
   fennelgauge-control-plane check-config FILE       check a configuration
 
 OPTIONS
   --log LEVEL     error, warn, info, debug or trace
-  --policy FILE   mechanisms of policy to be on or off (TOML); without it the table `policy` of the settings
+  --policy_file FILE   mechanisms of policy_file to be on or off (TOML); without it the table `policy_file` of the settings
   --help, --version
 ";
 
@@ -28,20 +28,20 @@
 }
 
 fn command(mut arguments: pico_args::Arguments) -> anyhow::Result<()> {
-    let level = arguments.opt_value_from_str("--log")?;
-    let policy = arguments.opt_value_from_str("--policy")?;
+    let log_level = arguments.opt_value_from_str("--log")?;
+    let policy_file = arguments.opt_value_from_str("--policy_file")?;
     let subcommand = arguments.subcommand()?.unwrap_or_else(|| "run".to_owned());
     match subcommand.as_str() {
-        "run" => run(level, policy),
+        "run" => run(log_level, policy_file),
         "check-settings" => check_settings(&arguments.free_from_str::<String>()?),
         "check-config" => check_configuration(&arguments.free_from_str::<String>()?),
-        other => anyhow::bail!("{other} is no command: see --help"),
+        other => anyhow::bail!("unknown command {other:?}: see --help"),
     }
 }
 
-fn run(level: Option<log::LevelFilter>, policy: Option<PathBuf>) -> anyhow::Result<()> {
-    let settings = Settings::with_policy(policy)?;
-    start_logging(&settings, level)?;
+fn run(log_level: Option<log::LevelFilter>, policy_file: Option<PathBuf>) -> anyhow::Result<()> {
+    let settings = Settings::with_policy(policy_file)?;
+    start_logging(&settings, log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, fennelgauge_control_plane::process::run(settings))
 }
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -59,7 +59,7 @@
 
 impl Presence {
     /// A store told of itself.
-    pub fn hear(&self, told: StorePresence) {
+    pub fn record(&self, told: StorePresence) {
         let StorePresence { heard, entries, accepted } = told;
         self.take_names(accepted);
         let at = Instant::now();
@@ -114,7 +114,7 @@
 }
 
 /// Plans without end, while this machine is the head.
-pub async fn keep_placement(core: Rc<Core>) {
+pub async fn maintain_placement(core: Rc<Core>) {
     let mut first_heard: Option<Instant> = None;
     loop {
         let closed = core.committed_state().is_some_and(|state| state.small.stores.has_closed_groups());
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -1,5 +1,6 @@
-//! Reads the platform's list for everybody who follows this machine: the head reads, the other members follow it and
-//! read themselves only when it is silent.
+//! Keeps the list of servers up to date. The head reads it from the platform and serves it to every process that
+//! watches the core; the other members watch the head and read from the platform themselves only when the head's list
+//! becomes stale.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,46 +12,49 @@
 use crate::core::Core;
 use crate::identity::random_number;
 
-const READ_EVERY: Duration = Duration::from_millis(500);
-/// A follower reads for itself once the newest list that it has is so old.
-const FOLLOWER_PATIENCE: Duration = Duration::from_millis(1_400);
-const FOLLOW_WAIT: Duration = Duration::from_millis(400);
+/// How often the list is read from the platform.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Age of the newest list from which on a member that is not the head reads from the platform itself.
+const STALE_LIST_AGE: Duration = Duration::from_millis(1_400);
+/// How long the head may hold the answer to a watch.
+const WATCH_WAIT: Duration = Duration::from_millis(400);
 
-/// Keeps the list of servers, without end.
-pub async fn keep_list(core: Rc<Core>) {
+/// Reads the list of servers from the platform whenever this machine is the head or its list is stale. Returns at once
+/// if the settings name no platform; otherwise never.
+pub async fn read_server_list(core: Rc<Core>) {
     let Some(platform) = core.settings.cloud.addr else { return };
     let client = client();
     let mut reader = Reader::new(random_number());
     loop {
-        let began = Instant::now();
-        let stale = core.known.servers_age().is_none_or(|age| age > FOLLOWER_PATIENCE);
+        let started = Instant::now();
+        let stale = core.known.servers_age().is_none_or(|age| age > STALE_LIST_AGE);
         if core.is_head() || (stale && core.is_link()) {
             match read_list(&client, platform).await {
-                Ok(servers) => core.known.take_servers(Some(reader.numbered(servers)), began.elapsed()),
+                Ok(servers) => core.known.take_servers(Some(reader.numbered(servers)), started.elapsed()),
                 Err(reason) => log::warn!("{reason}"),
             }
         }
-        sleep(READ_EVERY.saturating_sub(began.elapsed()).max(Duration::from_millis(50))).await;
+        sleep(READ_INTERVAL.saturating_sub(started.elapsed()).max(Duration::from_millis(50))).await;
     }
 }
 
-/// As a member that is not the head: follows the head's list.
-pub async fn follow_head(core: Rc<Core>) {
+/// Watches the head's list while this machine is a chain member other than the head. Never returns.
+pub async fn watch_head(core: Rc<Core>) {
     loop {
         let view = core.view();
         let head = view.head().filter(|head| head.identity != core.me.identity && core.is_link());
         let Some(head) = head else {
-            sleep(FOLLOW_WAIT).await;
+            sleep(WATCH_WAIT).await;
             continue;
         };
         let have = Have { generation: u64::MAX, stores: u64::MAX, view: u64::MAX, ..core.known.have() };
-        let watch = Request::Watch(Watch { have, wait_ms: FOLLOW_WAIT.as_millis() as u64 });
-        match core.caller.call(head.peer, watch, FOLLOW_WAIT * 2).await {
+        let watch = Request::Watch(Watch { have, wait_ms: WATCH_WAIT.as_millis() as u64 });
+        match core.caller.call(head.peer, watch, WATCH_WAIT * 2).await {
             Ok(Reply::News(news)) => {
                 let age = Duration::from_millis(news.servers_age_ms);
                 core.known.take_servers(news.servers, age);
             }
-            _ => sleep(FOLLOW_WAIT / 2).await,
+            _ => sleep(WATCH_WAIT / 2).await,
         }
     }
 }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs a control process: its parts, its sockets, its end.
+//! Starts the tasks and sockets of a control-plane process and runs it until a signal stops it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,13 +15,14 @@
 use tokio::time::Instant;
 
 use crate::core::Core;
-use crate::duties::{order_servers, report_usage, UsageCollector};
+use crate::duties::{report_usage, scale_services, UsageCollector};
 use crate::operator::{routes, Operator, MAX_ORDER_BYTES};
-use crate::placement::keep_placement;
-use crate::platform_reader::{follow_head, keep_list};
+use crate::placement::maintain_placement;
+use crate::platform_reader::{read_server_list, watch_head};
 use crate::store;
 
-/// Runs as a store where the settings say so, else as a part of the core, until a signal ends it.
+/// Runs a store if the settings list the role `storage`, else a core member, until a signal stops the process.
+/// Fails if the data directory cannot be read or a socket cannot be opened.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let settings = Rc::new(settings);
     match settings.serves("storage") {
@@ -30,69 +31,71 @@
     }
 }
 
+/// Runs a core member until a signal stops the process.
 async fn run_core(settings: Rc<Settings>) -> anyhow::Result<()> {
     let known = Rc::new(Known::of_source());
     let caller = Caller::leaving_from(settings.calls_leave_from());
-    let told = settings.told_peer_address();
-    let core = Core::open(settings.clone(), known.clone(), caller.clone(), told)?;
+    let advertised_peer = settings.told_peer_address();
+    let core = Core::open(settings.clone(), known.clone(), caller.clone(), advertised_peer)?;
     let collector = Rc::new(UsageCollector::default());
 
     let listener = TcpListener::bind(settings.control_peer_address()).await?;
-    let answering = Answering {
+    let context = AnswerContext {
         core: core.clone(),
         collector: collector.clone(),
         home: Rc::default(),
-        began: Instant::now(),
+        started: Instant::now(),
     };
-    spawn_local(serve(listener, move |request| answer(answering.clone(), request)));
-    spawn_local(core.clone().keep());
-    spawn_local(keep_list(core.clone()));
-    spawn_local(follow_head(core.clone()));
-    spawn_local(keep_placement(core.clone()));
+    spawn_local(serve(listener, move |request| answer(context.clone(), request)));
+    spawn_local(core.clone().run());
+    spawn_local(read_server_list(core.clone()));
+    spawn_local(watch_head(core.clone()));
+    spawn_local(maintain_placement(core.clone()));
     spawn_local(report_usage(core.clone(), collector.clone()));
-    spawn_local(order_servers(core.clone(), collector));
+    spawn_local(scale_services(core.clone(), collector));
     spawn_local(subscribe(known, caller, Subscription::new(&settings)));
     serve_operator(&settings, core).await
 }
 
-/// What calls of our own processes are answered from.
+/// State from which calls of the tier's own processes are answered.
 #[derive(Clone)]
-struct Answering {
+struct AnswerContext {
     core: Rc<Core>,
     collector: Rc<UsageCollector>,
-    /// Of the processes that report here what servers they use.
+    /// Adds up the server statistics of the processes that report to this machine.
     home: Rc<RefCell<Home>>,
-    began: Instant,
+    started: Instant,
 }
 
-async fn answer(answering: Answering, request: Request) -> Reply {
-    let Answering { core, collector, home, began } = answering;
+async fn answer(context: AnswerContext, request: Request) -> Reply {
+    let AnswerContext { core, collector, home, started } = context;
     match request {
-        Request::Uses(report) => match home.borrow_mut().report(report, began.elapsed()) {
+        Request::Uses(report) => match home.borrow_mut().report(report, started.elapsed()) {
             Ok(sums) => Reply::Uses(sums),
             Err(reason) => {
-                log::warn!("{reason}");
+                log::warn!("rejected a report of server statistics: {reason}");
                 Reply::NotHere
             }
         },
         Request::Watch(watch) => Reply::News(Box::new(core.known.answer_in_touch(&watch).await)),
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
-            spawn_local(core.hear(*envelope));
+            spawn_local(core.handle_message(*envelope));
             Reply::Noted
         }
-        Request::StorePresence(told) => {
-            core.presence.hear(told);
+        Request::StorePresence(presence) => {
+            core.presence.record(presence);
             Reply::Noted
         }
         Request::Usage(report) => {
-            collector.hear(report);
+            collector.record_report(report);
             Reply::Noted
         }
         Request::Store(_) => Reply::NotHere,
     }
 }
 
+/// Serves the operator's API if the settings name an address for it; returns when a signal stops the process.
 async fn serve_operator(settings: &Settings, core: Rc<Core>) -> anyhow::Result<()> {
     if let Some(control) = settings.listen.control {
         let listener = TcpListener::bind(control).await?;
--- a/crates/control-plane/src/store/presence.rs
+++ b/crates/control-plane/src/store/presence.rs
@@ -25,7 +25,7 @@
             sleep(PRESENCE_LEAST).await;
             let _ = timeout(PRESENCE_EVERY - PRESENCE_LEAST, self.presence_due.notified()).await;
             // Who cannot write is no use in a chain: it keeps silent, and the others go on without it.
-            if self.disk_health.is_in_trouble() {
+            if self.disk_health.is_unhealthy() {
                 continue;
             }
             let Some(view) = self.known.view() else { continue };
