--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -1,4 +1,5 @@
-//! One run of one item: at servers until it is done, fails too often, or is over; a text that broke off goes on at the next event.
+//! Runs one item: sends it to servers of its service until it completes, fails too often, or need not run any more. If a
+//! response breaks off, the next attempt resumes after the last event received.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,118 +18,133 @@
 use super::runner::{batch_route, ItemKey};
 use super::{wall_clock_ms, Store};
 
-const TRY_AGAIN: Duration = Duration::from_millis(120);
-const LONGEST_RUN: Duration = Duration::from_secs(20);
-/// After a silence of this length, before the head or between events, an item goes on at another server.
-const LONGEST_SILENCE: Duration = Duration::from_millis(2_500);
+/// Pause between two attempts, or between two looks for a server with room.
+const RETRY_DELAY: Duration = Duration::from_millis(120);
+/// Time limit for one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for the head of a response or for more of its body; after it the item goes to another server.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time limit for the acceptance of the item's job to be committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Items wait while their servers are fuller than this, as a part of their slots.
-const ENOUGH_LOAD: f64 = 0.8;
-/// An item whose failures all happened here is tried again after so many times the route's `retries`; three times may not be
-/// passed, whoever runs it, and a later head gives it `retries` at most.
-const PATIENCE_WITH_ITEMS: u32 = 2;
-/// Behind all interactive requests.
+/// Mean load of a service's servers, as a share of their slots, above which items wait.
+const MAX_MEAN_LOAD: f64 = 0.8;
+/// Factor on the route's `retries` that gives the number of failures allowed to an item of a job that this store
+/// accepted, and so has run alone. A later head, which does not know these failures, allows `retries` more, which
+/// keeps the total within three times `retries`.
+const FAILURE_LIMIT_FACTOR: u32 = 2;
+/// Priority header of items: behind all interactive requests.
 const ITEM_PRIORITY: &str = "9";
-/// Past an item's retention by so much it is given up, as clocks differ.
+/// Time after the end of its retention at which an unfinished item is dead-lettered, because clocks differ. In
+/// milliseconds.
 const RETENTION_MARGIN_MS: u64 = 6_000;
 
-/// What a run needs of an item and its batch job.
-struct OpenItem {
+/// An unfinished item with what a run needs of its batch job.
+struct UnfinishedItem {
     item: Item,
-    /// None where the configuration has no such route any more.
+    /// `None` if the configuration has no such route any more.
     route: Option<Rc<Route>>,
     tenant: String,
     host: String,
+    /// Wall-clock time of the job's submission, in milliseconds since the Unix epoch.
     received_ms: u64,
 }
 
-/// What one attempt came to.
+/// Outcome of one attempt at one server.
 enum Attempt {
+    /// The item has its result.
     Finished(ItemOutcome),
-    /// The server tried and failed.
+    /// The server executed the item and failed; counts towards the item's failure limit.
     Failed,
-    /// Broke off, refused or not reached: again, from the next event.
-    Again,
+    /// The response broke off, or the server refused the item or was not reached: try again, after the last event.
+    Retry,
 }
 
 impl Store {
-    /// Runs one item to its end; none if it need not run any more.
+    /// Runs an item until it has a result. Returns `None` if it need not run any more.
     pub(super) async fn run_item(self: &Rc<Self>, key: &ItemKey) -> Option<ItemResult> {
-        let mut text: Vec<String> = Vec::new();
-        let mut order = EventOrder::default();
+        let mut event_data: Vec<String> = Vec::new();
+        let mut event_order = EventOrder::default();
         let mut failures = 0;
-        let mut tried = Vec::new();
-        if !self.is_committed(key).await {
+        let mut excluded_servers = Vec::new();
+        if !self.job_is_committed(key).await {
             return None;
         }
         loop {
-            let OpenItem { item, route, tenant, host, received_ms } = self.item(key)?;
-            let dead =
-                ItemResult { item_index: key.item, outcome: ItemOutcome::DeadLettered, text: String::new() };
-            let Some(route) = route else { return Some(dead) };
-            let given_up_ms = received_ms + (route.retention_s * 1_000.0) as u64 + RETENTION_MARGIN_MS;
-            if route.retention_s > 0.0 && wall_clock_ms() > given_up_ms {
-                return Some(dead);
+            let UnfinishedItem { item, route, tenant, host, received_ms } = self.unfinished_item(key)?;
+            let dead_letter = ItemResult {
+                item_index: key.item_index,
+                outcome: ItemOutcome::DeadLettered,
+                text: String::new(),
+            };
+            let Some(route) = route else { return Some(dead_letter) };
+            let expires_ms = received_ms + (route.retention_s * 1_000.0) as u64 + RETENTION_MARGIN_MS;
+            if route.retention_s > 0.0 && wall_clock_ms() > expires_ms {
+                return Some(dead_letter);
             }
             let service = route.service(fixed_chance(&item.id));
-            if self.pool.mean_load(service).is_some_and(|load| load > ENOUGH_LOAD) {
-                sleep(TRY_AGAIN).await;
+            if self.pool.mean_load(service).is_some_and(|load| load > MAX_MEAN_LOAD) {
+                sleep(RETRY_DELAY).await;
                 continue;
             }
-            let Some(ticket) = self.pool.choose(service, &tried, &demand(&item)) else {
-                tried.clear();
-                sleep(TRY_AGAIN).await;
+            let Some(ticket) = self.pool.choose(service, &excluded_servers, &demand(&item)) else {
+                excluded_servers.clear();
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let outgoing = outgoing(&item, &tenant, &host, order.last());
-            let began = Instant::now();
-            match self.attempt(service, &ticket, &outgoing, &mut text, &mut order).await {
+            let outgoing = outgoing(&item, &tenant, &host, event_order.last());
+            let started = Instant::now();
+            match self.attempt(service, &ticket, &outgoing, &mut event_data, &mut event_order).await {
                 Attempt::Finished(ItemOutcome::Succeeded) => {
-                    self.run_times.borrow_mut().took(item.tokens, began.elapsed());
-                    let text = text.join("\n");
-                    return Some(ItemResult { item_index: key.item, outcome: ItemOutcome::Succeeded, text });
+                    self.run_durations.borrow_mut().record(item.tokens, started.elapsed());
+                    let text = event_data.join("\n");
+                    return Some(ItemResult {
+                        item_index: key.item_index,
+                        outcome: ItemOutcome::Succeeded,
+                        text,
+                    });
                 }
-                Attempt::Finished(ItemOutcome::DeadLettered) => return Some(dead),
+                Attempt::Finished(ItemOutcome::DeadLettered) => return Some(dead_letter),
                 Attempt::Failed => {
                     failures += 1;
-                    if failures >= self.most_failures(key, &route) {
-                        return Some(dead);
+                    if failures >= self.max_failures(key, &route) {
+                        return Some(dead_letter);
                     }
                 }
-                Attempt::Again => {}
+                Attempt::Retry => {}
             }
-            tried = vec![ticket.server.id.clone()];
+            excluded_servers = vec![ticket.server.id.clone()];
             drop(ticket);
-            sleep(TRY_AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// After how many failures at servers an item is given up.
-    fn most_failures(&self, key: &ItemKey, route: &Route) -> u32 {
+    /// Returns the number of failures at servers after which an item is dead-lettered.
+    fn max_failures(&self, key: &ItemKey, route: &Route) -> u32 {
         let retries = route.retries.max(1);
-        match self.settings.policy.patient_items && self.taken_here.borrow().contains_key(&key.job) {
-            true => retries * PATIENCE_WITH_ITEMS,
+        match self.settings.policy.patient_items && self.accepted_here.borrow().contains_key(&key.job) {
+            true => retries * FAILURE_LIMIT_FACTOR,
             false => retries,
         }
     }
 
-    /// Waits until the acceptance of the item's batch job is committed.
-    async fn is_committed(&self, key: &ItemKey) -> bool {
+    /// Waits until all entries of the group up to now, with the acceptance of the item's job, are committed. Returns
+    /// false if that takes too long.
+    async fn job_is_committed(&self, key: &ItemKey) -> bool {
         let position = self.replica(key.group).borrow().position();
         self.committed(key.group, position, Instant::now() + COMMIT_TIMEOUT).await
     }
 
-    /// The item as it stands now; none if it is over.
-    fn item(&self, key: &ItemKey) -> Option<OpenItem> {
+    /// Returns the item with the current route, or `None` if it has a result or its job was cancelled or removed.
+    fn unfinished_item(&self, key: &ItemKey) -> Option<UnfinishedItem> {
         let replica = self.replica(key.group).borrow();
         let state = replica.state().job(&key.job).filter(|state| !state.cancelled)?;
-        let item = state.job.items.get(key.item as usize)?.clone();
-        if state.has_result[key.item as usize] {
+        let item = state.job.items.get(key.item_index as usize)?.clone();
+        if state.has_result[key.item_index as usize] {
             return None;
         }
         let table = self.known.table()?;
         let route = batch_route(&table, &state.job, &item);
-        Some(OpenItem {
+        Some(UnfinishedItem {
             item,
             route,
             tenant: state.job.tenant.clone(),
@@ -137,64 +153,75 @@
         })
     }
 
+    /// Sends the item to one server and collects the events of its response.
     async fn attempt(
         &self,
         service: &str,
         ticket: &Ticket,
         outgoing: &Outgoing,
-        text: &mut Vec<String>,
-        order: &mut EventOrder,
+        event_data: &mut Vec<String>,
+        event_order: &mut EventOrder,
     ) -> Attempt {
-        let began = Instant::now();
-        let sent = self.sender.send(&ticket.server, outgoing, LONGEST_RUN, LONGEST_SILENCE).await;
-        self.learn_window(service, &sent, began.elapsed());
-        let answer = match sent {
-            Ok(answer) => answer,
+        let started = Instant::now();
+        let sent = self.sender.send(&ticket.server, outgoing, ATTEMPT_TIMEOUT, IDLE_TIMEOUT).await;
+        self.update_concurrency(service, &sent, started.elapsed());
+        let response = match sent {
+            Ok(response) => response,
             Err(error) => {
                 self.pool.learn_failure(&ticket.server, &error);
                 if error == SendError::MayHaveRun {
-                    log::info!("item {}: {error}", outgoing.id);
+                    log::info!(
+                        "item {}: attempt at server {} failed: {error}",
+                        outgoing.id,
+                        ticket.server.id
+                    );
                 }
-                return Attempt::Again;
+                return Attempt::Retry;
             }
         };
-        self.pool.learn(ticket, &answer);
-        match answer.status() {
-            status if status.is_success() => read_events(answer, text, order).await,
+        self.pool.learn(ticket, &response);
+        match response.status() {
+            status if status.is_success() => read_events(response, event_data, event_order).await,
             StatusCode::UNPROCESSABLE_ENTITY => Attempt::Finished(ItemOutcome::DeadLettered),
             StatusCode::INTERNAL_SERVER_ERROR => Attempt::Failed,
-            _ => Attempt::Again,
+            _ => Attempt::Retry,
         }
     }
 }
 
-/// Collects the events of an answer; a break leaves what was whole.
-async fn read_events(mut answer: Answer, text: &mut Vec<String>, order: &mut EventOrder) -> Attempt {
+/// Collects the events of a response. If it breaks off, the events received whole are kept for the next attempt.
+async fn read_events(
+    mut response: Answer,
+    event_data: &mut Vec<String>,
+    event_order: &mut EventOrder,
+) -> Attempt {
     let mut reader = EventReader::default();
     loop {
-        let piece = match timeout(LONGEST_SILENCE, answer.next()).await {
-            Ok(Some(Ok(piece))) => piece,
+        let chunk = match timeout(IDLE_TIMEOUT, response.next()).await {
+            Ok(Some(Ok(chunk))) => chunk,
             Ok(None) if !reader.has_rest() => return Attempt::Finished(ItemOutcome::Succeeded),
-            _ => return Attempt::Again,
+            _ => return Attempt::Retry,
         };
-        reader.push(&piece);
+        reader.push(&chunk);
         for event in reader.by_ref() {
-            if !order.take(&event) {
-                return Attempt::Again;
+            if !event_order.take(&event) {
+                return Attempt::Retry;
             }
-            text.push(event.data);
+            event_data.push(event.data);
         }
     }
 }
 
+/// Builds the request for an item: its own headers without those that describe a connection, a caller or a position in
+/// a stream, and the store's headers for tenant, priority and the event to resume after.
 fn outgoing(item: &Item, tenant: &str, host: &str, last_event: Option<u64>) -> Outgoing {
-    let own = [TENANT, PRIORITY, LAST_EVENT_ID];
+    let set_by_store = [TENANT, PRIORITY, LAST_EVENT_ID];
     let mut headers: Vec<(HeaderName, HeaderValue)> = item
         .headers
         .iter()
         .filter_map(|(name, value)| Some((name.parse().ok()?, HeaderValue::from_str(value).ok()?)))
         .filter(|(name, _): &(HeaderName, HeaderValue)| {
-            !is_hop_by_hop(name) && !own.contains(name) && name != "authorization" && name != "host"
+            !is_hop_by_hop(name) && !set_by_store.contains(name) && name != "authorization" && name != "host"
         })
         .collect();
     if let Ok(tenant) = HeaderValue::from_str(tenant) {
@@ -214,7 +241,7 @@
     }
 }
 
-/// What the choice of a server goes by.
+/// Returns what the choice of a server depends on: the hash of the item's prompt prefix, if the item has one.
 fn demand(item: &Item) -> Demand {
     let prefix = item.headers.iter().find(|(name, _)| PREFIX_HASH == name.to_ascii_lowercase().as_str());
     Demand::of_item(prefix.map(|(_, value)| value.as_str()))
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -40,7 +40,7 @@
                 for group in join_all(copied).await.into_iter().flatten() {
                     let before = self.copied.borrow_mut().insert(group, view.epoch);
                     if before.is_none() {
-                        self.presence_due.notify_one();
+                        self.heartbeat_due.notify_one();
                     }
                 }
             }
--- a/crates/control-plane/src/store/level.rs
+++ b/crates/control-plane/src/store/level.rs
@@ -66,7 +66,7 @@
         for group in join_all(confirmed).await.into_iter().flatten() {
             log::info!("group {}: has everything in view {}", group.0, view.epoch);
             self.holds.borrow_mut().insert(group, view.epoch);
-            self.presence_due.notify_one();
+            self.heartbeat_due.notify_one();
         }
     }
 
@@ -89,7 +89,7 @@
         log::error!("group {} was given up: it is begun anew without the batch jobs that it held", group.0);
         self.stop_group(group);
         let end = copy.position;
-        let written = self.journal_records(vec![Record::Copy { group, copy }]);
+        let written = self.journal_records(vec![Record::Snapshot { group, copy }]);
         let store = self.clone();
         tokio::task::spawn_local(async move {
             if written.await {
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -1,18 +1,18 @@
 //! A store: keeps groups of batch jobs with other stores, runs their items, answers what becomes of them.
 
-mod costs;
+mod concurrency;
+mod counters;
+mod heartbeat;
 mod item_run;
 mod journal;
 mod learner;
 mod level;
-mod presence;
 mod replication;
-mod run_times;
+mod run_durations;
 mod runner;
 mod serving;
 #[cfg(test)]
 mod tests;
-mod window;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -68,15 +68,15 @@
     /// Groups of which this store has everything, as a joining link, and the view of that.
     holds: RefCell<BTreeMap<GroupNumber, u64>>,
     /// There is something new to tell the head of the core.
-    presence_due: Notify,
+    heartbeat_due: Notify,
     running: RefCell<HashMap<runner::ItemKey, AbortHandle>>,
     /// By service.
     running_counts: RefCell<HashMap<String, runner::RunningCount>>,
-    windows: RefCell<HashMap<String, window::ItemWindow>>,
+    concurrency_windows: RefCell<HashMap<String, concurrency::ConcurrencyWindow>>,
     /// Batch jobs that were taken while this store was the head, as it has been ever since.
-    taken_here: RefCell<HashMap<String, GroupNumber>>,
-    run_times: RefCell<run_times::RunTimes>,
-    made: costs::Made,
+    accepted_here: RefCell<HashMap<String, GroupNumber>>,
+    run_durations: RefCell<run_durations::RunDurations>,
+    entry_counters: counters::EntryCounters,
     disk_health: Rc<DiskHealth>,
     /// Bytes handed to the journal since the last whole write, and the size of that.
     written: Cell<usize>,
@@ -95,7 +95,7 @@
     spawn_local(store.clone().repair_successors());
     spawn_local(store.clone().keep_level());
     spawn_local(store.clone().try_failed_disk());
-    spawn_local(store.clone().tell_presence());
+    spawn_local(store.clone().send_heartbeats());
     spawn_local(store.clone().learn());
     spawn_local(store.clone().run_items());
     let life = getrandom::u64().unwrap_or(1);
@@ -144,13 +144,13 @@
             checked: RefCell::default(),
             copied: RefCell::default(),
             holds: RefCell::default(),
-            presence_due: Notify::new(),
+            heartbeat_due: Notify::new(),
             running: RefCell::default(),
             running_counts: RefCell::default(),
-            windows: RefCell::default(),
-            taken_here: RefCell::default(),
-            run_times: RefCell::default(),
-            made: costs::Made::default(),
+            concurrency_windows: RefCell::default(),
+            accepted_here: RefCell::default(),
+            run_durations: RefCell::default(),
+            entry_counters: counters::EntryCounters::default(),
             disk_health: Rc::default(),
             written: Cell::new(0),
             whole_size: Cell::new(0),
@@ -175,9 +175,11 @@
             StoreRequest::Check { epoch, groups } => self.check_again(epoch, &groups),
             StoreRequest::Fetch { epoch, group, after } => self.fetch(epoch, group, after).await,
             StoreRequest::Install { epoch, group, copy } => self.install(epoch, group, &copy).await,
-            StoreRequest::Costs => {
-                StoreReply::Costs(costs::told(self.journal.counted(), &self.made, self.caller.sent()))
-            }
+            StoreRequest::Costs => StoreReply::Costs(counters::snapshot(
+                self.journal.counters(),
+                &self.entry_counters,
+                self.caller.sent(),
+            )),
         }
     }
 
@@ -225,9 +227,9 @@
     }
 
     /// The groups that this store may change.
-    fn changeable(&self, view: &StoreView) -> Vec<GroupNumber> {
+    fn writable_groups(&self, view: &StoreView) -> Vec<GroupNumber> {
         let headed = self.headed(view).into_iter();
-        headed.filter(|group| self.takes_changes(view, *group)).collect()
+        headed.filter(|group| self.accepts_changes(view, *group)).collect()
     }
 
     fn peer(&self, view: &StoreView, store: StoreNumber) -> Option<SocketAddr> {
@@ -256,7 +258,7 @@
     fn journal_all(&self) -> tokio::sync::oneshot::Receiver<bool> {
         let whole: Vec<Record> = GroupNumber::all()
             .filter(|group| self.replica(*group).borrow().position().sequence > 0)
-            .map(|group| Record::Copy { group, copy: self.replica(group).borrow().copy() })
+            .map(|group| Record::Snapshot { group, copy: self.replica(group).borrow().copy() })
             .collect();
         self.whole_size.set(whole.iter().map(record_size).sum());
         self.written.set(0);
@@ -294,7 +296,7 @@
                 log::error!("group {}: entry {:?} does not fit", entry.group.0, entry.position);
             }
         }
-        Record::Copy { group, copy } => {
+        Record::Snapshot { group, copy } => {
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
             if !replica.restore_copy(&copy) {
                 log::error!("group {}: its copy up to {:?} cannot be read", group.0, copy.position);
@@ -306,7 +308,7 @@
 fn record_size(record: &Record) -> usize {
     match record {
         Record::Entry(entry) => entry.command.len() + 32,
-        Record::Copy { copy, .. } => copy.state.len() + 64,
+        Record::Snapshot { copy, .. } => copy.state.len() + 64,
     }
 }
 
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -35,7 +35,7 @@
             Command::RecordResults { results, .. } => results.len(),
             _ => 0,
         };
-        self.made.count(results);
+        self.entry_counters.record(results);
         let entry = self.replica(group).borrow_mut().create(group, view.epoch, command);
         let position = entry.position;
         self.pending.borrow_mut().push(entry);
@@ -223,7 +223,7 @@
                 return false;
             }
         }
-        if !self.journal_records(vec![Record::Copy { group, copy: copy.clone() }]).await {
+        if !self.journal_records(vec![Record::Snapshot { group, copy: copy.clone() }]).await {
             return false;
         }
         self.replica(group).borrow_mut().mark_synced(copy.position);
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -31,7 +31,7 @@
             Submission::GivenUp => return StoreReply::GivenUp,
             Submission::Known(entry) => entry,
             Submission::New if self.has_room(&job) => {
-                self.taken_here.borrow_mut().insert(job.id.clone(), group);
+                self.accepted_here.borrow_mut().insert(job.id.clone(), group);
                 self.change(&view, group, Command::Accept(job))
             }
             Submission::New => return StoreReply::NotTaken,
@@ -43,7 +43,7 @@
     }
 
     /// Whether this store is the head of a chain that enough links hold, and has the group as it was begun last.
-    pub(super) fn takes_changes(&self, view: &StoreView, group: GroupNumber) -> bool {
+    pub(super) fn accepts_changes(&self, view: &StoreView, group: GroupNumber) -> bool {
         self.replica(group).borrow().takes_changes(self.role(view, group).as_ref())
     }
 
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -42,10 +42,10 @@
     }
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
     assert_eq!(found.len(), 3);
-    let whole = [Record::Copy { group: GROUP, copy: group.copy() }];
+    let whole = [Record::Snapshot { group: GROUP, copy: group.copy() }];
     assert_eq!(journal.write(&whole, true).blocking_recv(), Ok(true));
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
-    let [Record::Copy { copy, .. }] = found.as_slice() else { panic!("only the whole copy is left") };
+    let [Record::Snapshot { copy, .. }] = found.as_slice() else { panic!("only the whole copy is left") };
     assert_eq!(copy.position, group.position());
     std::fs::remove_dir_all(path).expect("removed");
 }
@@ -62,7 +62,7 @@
     std::fs::rename(&moved, path.join("journal")).expect("the folder is back");
     assert_eq!(journal.write(&records[2..], false).blocking_recv(), Ok(false), "one is missing before it");
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(false));
-    let whole = [Record::Copy { group: GROUP, copy: group.copy() }];
+    let whole = [Record::Snapshot { group: GROUP, copy: group.copy() }];
     assert_eq!(journal.write(&whole, true).blocking_recv(), Ok(true));
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(true));
     std::fs::remove_dir_all(path).expect("removed");
