--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -64,15 +64,15 @@
 impl UsageCollector {
     /// Takes in a process's report. The counts of a window only grow, so a report that arrives late does no harm.
     pub fn record_report(&self, report: UsageReport) {
-        self.record_timeliness((report.node.clone(), report.life), &report.timeliness);
+        self.record_timeliness((report.node.clone(), report.incarnation), &report.timeliness);
         self.last_reported_at
             .borrow_mut()
-            .insert((report.node.clone(), report.life), wall_clock().as_secs_f64());
+            .insert((report.node.clone(), report.incarnation), wall_clock().as_secs_f64());
         let mut windows = self.windows.borrow_mut();
         for counted in report.windows {
-            let process = (report.node.clone(), report.life);
+            let process = (report.node.clone(), report.incarnation);
             let counts = windows.entry(counted.window).or_default().entry(process).or_default();
-            for (tenant, count) in counted.counts {
+            for (tenant, count) in counted.tenant_counts {
                 let latest = counts.entry(tenant).or_default();
                 *latest = count.max(*latest);
             }
@@ -90,9 +90,9 @@
         let mut timeliness_since_taken = self.timeliness_since_taken.borrow_mut();
         for now in reported {
             let then = previous.iter().find(|then| then.service == now.service);
-            let (responses, late) = then.map_or((0, 0), |then| (then.answers, then.late));
+            let (responses, late) = then.map_or((0, 0), |then| (then.responses, then.late));
             let counts = timeliness_since_taken.entry(now.service.clone()).or_default();
-            counts.0 += now.answers.saturating_sub(responses);
+            counts.0 += now.responses.saturating_sub(responses);
             counts.1 += now.late.saturating_sub(late);
         }
     }
--- a/crates/control-plane/src/identity.rs
+++ b/crates/control-plane/src/identity.rs
@@ -5,7 +5,7 @@
 
 use fennelgauge_coordination::Identity;
 use fennelgauge_settings::Settings;
-use fennelgauge_versions::{Folder, VersionName};
+use fennelgauge_versions::{VersionDirectory, VersionName};
 
 /// Returns a random number that no other process is expected to draw. Falls back to the process id if the system has
 /// no source of randomness.
@@ -25,8 +25,8 @@
 
 /// Returns the disk number stored in the data directory, after storing a new one if there is none.
 fn stored_disk_number(path: &Path) -> anyhow::Result<u64> {
-    let folder = Folder::open(&path.join("identity"), "identity")?;
-    if let Some((_, body)) = folder.newest()? {
+    let folder = VersionDirectory::open(&path.join("identity"), "identity")?;
+    if let Some((_, body)) = folder.newest_valid()? {
         if let Ok(bytes) = body.as_slice().try_into() {
             return Ok(u64::from_le_bytes(bytes));
         }
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -40,7 +40,7 @@
 }
 
 fn run(log_level: Option<log::LevelFilter>, policy_file: Option<PathBuf>) -> anyhow::Result<()> {
-    let settings = Settings::with_policy(policy_file)?;
+    let settings = Settings::from_environment_with_policy(policy_file)?;
     start_logging(&settings, log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, fennelgauge_control_plane::process::run(settings))
--- a/crates/control-plane/src/store/counters.rs
+++ b/crates/control-plane/src/store/counters.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use fennelgauge_wire::{Sent, StoreCosts};
+use fennelgauge_wire::{CallStats, StoreCounters};
 
 /// Counts the journal's writes; updated by its writing thread.
 #[derive(Clone, Debug, Default)]
@@ -37,13 +37,13 @@
 }
 
 /// Returns all counters as they are reported to a caller.
-pub fn snapshot(journal: &JournalCounters, entries: &EntryCounters, sent: Sent) -> StoreCosts {
-    StoreCosts {
-        syncs: journal.syncs.load(Ordering::Relaxed),
-        synced_bytes: journal.bytes.load(Ordering::Relaxed),
+pub fn snapshot(journal: &JournalCounters, entries: &EntryCounters, sent: CallStats) -> StoreCounters {
+    StoreCounters {
+        journal_syncs: journal.syncs.load(Ordering::Relaxed),
+        journal_bytes: journal.bytes.load(Ordering::Relaxed),
         calls: sent.calls,
         call_bytes: sent.bytes,
-        entries: entries.entries.get(),
-        results: entries.results.get(),
+        head_entries: entries.entries.get(),
+        head_results: entries.results.get(),
     }
 }
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Heard, Told};
-use fennelgauge_wire::{Request, StorePresence};
+use fennelgauge_wire::{Request, StoreHeartbeat};
 use tokio::time::{sleep, timeout};
 
 use super::Store;
@@ -40,8 +40,9 @@
             };
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
-            let heartbeat = StorePresence { heard, entries, accepted: accepted.clone() };
-            let call = self.caller.call(head.peer, Request::StorePresence(heartbeat), HEARTBEAT_TIMEOUT);
+            let heartbeat =
+                StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
+            let call = self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_TIMEOUT);
             match call.await {
                 Ok(_) => reported_jobs.mark_reported(accepted),
                 Err(reason) => {
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -7,7 +7,7 @@
 
 use super::counters::JournalCounters;
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_versions::{Folder, VersionName, VersionsError};
+use fennelgauge_versions::{VersionDirectory, VersionName, VersionsError};
 use fennelgauge_wire::{decode, encode, Entry, GroupCopy};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
@@ -48,9 +48,9 @@
     pub fn open(path: Option<&Path>) -> Result<(Self, Vec<Record>), VersionsError> {
         let counters = JournalCounters::default();
         let Some(path) = path else { return Ok((Self { writes: None, counters }, Vec::new())) };
-        let directory = Folder::open(&path.join("journal"), "batch")?;
+        let directory = VersionDirectory::open(&path.join("journal"), "batch")?;
         let mut records = Vec::new();
-        let names = directory.names()?;
+        let names = directory.list()?;
         let next_sequence = names.last().map_or(1, |name| name.sequence + 1);
         for name in names {
             match directory.read(name) {
@@ -108,7 +108,7 @@
 
 /// JournalCounters what arrives in the queue, several waiting writes as one file, until the journal is dropped.
 fn write_all(
-    directory: &Folder,
+    directory: &VersionDirectory,
     mut sequence: u64,
     queue: &mpsc::Receiver<Write>,
     counters: &JournalCounters,
@@ -156,7 +156,7 @@
 }
 
 /// JournalCounters one file and syncs it; returns whether that succeeded.
-fn write_file(directory: &Folder, sequence: u64, body: &[u8]) -> bool {
+fn write_file(directory: &VersionDirectory, sequence: u64, body: &[u8]) -> bool {
     if body.is_empty() {
         return true;
     }
@@ -170,8 +170,8 @@
 }
 
 /// Deletes the files with a lower sequence number.
-fn remove_before(directory: &Folder, sequence: u64) {
-    let Ok(names) = directory.names() else { return };
+fn remove_before(directory: &VersionDirectory, sequence: u64) {
+    let Ok(names) = directory.list() else { return };
     for name in names.into_iter().filter(|name| name.sequence < sequence) {
         directory.remove(name);
     }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, Identity, Member, StoreNumber, StoreView, GROUPS, STORE_LEASE};
-use fennelgauge_http::until_stopped;
+use fennelgauge_http::wait_for_shutdown_signal;
 use fennelgauge_replication::{Query, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
@@ -102,15 +102,15 @@
     let sharing = Subscription::new(&settings);
     spawn_local(share_uses(store.pool.clone(), store.known.clone(), store.caller.clone(), sharing, life));
     spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     Ok(())
 }
 
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
-        Request::Watch(watch) => Reply::News(Box::new(store.known.answer(&watch).await)),
-        _ => Reply::NotHere,
+        Request::Watch(watch) => Reply::Watch(Box::new(store.known.answer(&watch).await)),
+        _ => Reply::Unsupported,
     }
 }
 
@@ -126,13 +126,13 @@
         }
         let earliest_view = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
-        let peer = settings.told_peer_address();
+        let peer = settings.advertised_peer_address();
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
         Ok(Rc::new(Self {
             me,
             pool: Pool::new(&settings.zone, &settings.policy),
             sender: Sender::new(&settings.policy),
-            caller: Caller::leaving_from(settings.calls_leave_from()),
+            caller: Caller::with_source(settings.peer_source_ip()),
             settings,
             known: Rc::default(),
             journal,
@@ -159,26 +159,26 @@
 
     async fn answer(self: &Rc<Self>, request: StoreRequest) -> StoreReply {
         match request {
-            StoreRequest::Submit { epoch, group, job, most_queued } => {
+            StoreRequest::Submit { epoch, group, job, max_queued: most_queued } => {
                 self.submit(epoch, group, job, most_queued).await
             }
-            StoreRequest::End { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
-            StoreRequest::Read { epoch, group, tenant, job, start, wait_ms } => {
+            StoreRequest::Cancel { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
+            StoreRequest::ReadResults { epoch, group, tenant, job, start_after: start, wait_ms } => {
                 let query = Query { tenant, job, start };
                 self.read(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
-            StoreRequest::Body { epoch, group, tenant, job, item } => {
+            StoreRequest::ReadItemBody { epoch, group, tenant, job, item } => {
                 self.body(epoch, group, (&tenant, &job), &item).await
             }
             StoreRequest::Append { epoch, batches } => self.append(epoch, batches).await,
             StoreRequest::Position { epoch, group } => self.position(epoch, group).await,
-            StoreRequest::Check { epoch, groups } => self.check_again(epoch, &groups),
-            StoreRequest::Fetch { epoch, group, after } => self.fetch(epoch, group, after).await,
-            StoreRequest::Install { epoch, group, copy } => self.install(epoch, group, &copy).await,
-            StoreRequest::Costs => StoreReply::Costs(counters::snapshot(
+            StoreRequest::RecheckGroups { epoch, groups } => self.check_again(epoch, &groups),
+            StoreRequest::FetchEntries { epoch, group, after } => self.fetch(epoch, group, after).await,
+            StoreRequest::InstallCopy { epoch, group, copy } => self.install(epoch, group, &copy).await,
+            StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
                 self.journal.counters(),
                 &self.entry_counters,
-                self.caller.sent(),
+                self.caller.stats(),
             )),
         }
     }
