--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -171,8 +171,10 @@
                 self.pool.record_send_error(&ticket.server, &error);
                 if error == SendError::MayHaveExecuted {
                     log::info!(
-                        "item {}: attempt at server {} failed: {error}", outgoing.id,
-                        ticket.server.id);
+                        "item {}: attempt at server {} failed: {error}",
+                        outgoing.id,
+                        ticket.server.id
+                    );
                 }
                 return Attempt::Retry;
             }
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -21,10 +21,7 @@
     /// A log entry of a group.
     Entry(Entry),
     /// A snapshot of a group; replaces all earlier records of it.
-    Snapshot {
-        group: GroupNumber,
-        copy: GroupSnapshot
-    },
+    Snapshot { group: GroupNumber, copy: GroupSnapshot },
 }
 
 /// Records handed to the writing thread.
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -44,11 +44,9 @@
     pub service: String,
     pub outgoing: OutgoingRequest,
     /// When the client's deadline or the route's timeout ends, whichever is earlier.
-
     pub deadline: Instant,
     demand: RequestProfile,
     /// Ids of the servers tried so far.
-
     tried: Vec<String>,
     /// Number of servers that may have executed the request.
     pub runs: u32,
@@ -59,7 +57,6 @@
 pub(crate) struct ActiveResponse {
     pub response: UpstreamResponse,
     /// Counts the request as in flight at its server until dropped.
-
     pub ticket: InFlightGuard,
 }
 
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -45,7 +45,6 @@
     /// The servers to choose from, with their load and failures.
     pub pool: ServerPool,
     /// Sends requests to servers.
-
     pub sender: RequestSender,
     pub usage: RefCell<UsageCounters>,
     pub timeliness: RefCell<TimelinessCounters>,
@@ -87,7 +86,8 @@
 
     /// Whether a request that arrives now is refused, because the process could end before its response is complete.
     pub fn refuses_new_requests(&self) -> bool {
-        let grace = NEW_REQUEST_GRACE.min(self.settings.shutdown_grace().mul_f64(MAX_NEW_REQUEST_GRACE_SHARE));
+        let grace =
+            NEW_REQUEST_GRACE.min(self.settings.shutdown_grace().mul_f64(MAX_NEW_REQUEST_GRACE_SHARE));
         self.stop_requested_at.get().is_some_and(|since| since.elapsed() > grace)
     }
 
@@ -122,7 +122,7 @@
         plane.known.clone(),
         plane.caller.clone(),
         stats_subscription,
-        incarnation
+        incarnation,
     ));
     spawn_local(probe_connections(plane.pool.clone(), plane.sender.clone()));
     spawn_local(report_usage(plane.clone()));
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -47,7 +47,8 @@
             sleep(RETRY).await;
             continue;
         };
-        let watch = Request::Watch(WatchRequest { known: known.known_versions(), wait_ms: WAIT.as_millis() as u64 });
+        let watch =
+            Request::Watch(WatchRequest { known: known.known_versions(), wait_ms: WAIT.as_millis() as u64 });
         let began = Instant::now();
         match caller.call(peer, watch, ANSWER_TIMEOUT).await {
             Ok(Reply::Watch(news)) => {
--- a/crates/upstream/src/tier_state.rs
+++ b/crates/upstream/src/tier_state.rs
@@ -218,7 +218,12 @@
             server_list: (own.server_list != have.server_list).then(|| self.servers.borrow().clone()),
             server_list_age_ms: age_ms(self.server_list_age()),
             store_view: (own.store_view > have.store_view).then(|| StoreView::clone(&self.stores.borrow())),
-            core_view: self.view.borrow().as_ref().filter(|_| own.core_view > have.core_view).map(|view| View::clone(view)),
+            core_view: self
+                .view
+                .borrow()
+                .as_ref()
+                .filter(|_| own.core_view > have.core_view)
+                .map(|view| View::clone(view)),
             confirmed_age_ms: age_ms(self.view_confirmation_age()),
         }
     }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -205,7 +205,6 @@
     /// The stores that hold the group's data or did when they were last heard from.
     pub holders: Vec<HolderStatus>,
     /// Names of stores that were added to the group's chain and do not have all its entries yet.
-
     pub joining: Vec<String>,
     /// Name of the store that copies the group before it joins the chain.
     pub learner: Option<String>,
@@ -290,41 +289,18 @@
         wait_ms: u64,
     },
     /// To the tail: reads the body of an item that has no result yet.
-    ReadItemBody {
-        epoch: u64,
-        group: GroupNumber,
-        tenant: String,
-        job: String,
-        item: String
-    },
+    ReadItemBody { epoch: u64, group: GroupNumber, tenant: String, job: String, item: String },
     /// To the successor in the groups' chains: appends entries.
-    Append {
-        epoch: u64,
-        batches: Vec<EntryBatch>
-    },
+    Append { epoch: u64, batches: Vec<EntryBatch> },
     /// Asks whether the store's view has that epoch, and for its position in a group.
-    Position {
-        epoch: u64,
-        group: GroupNumber
-    },
+    Position { epoch: u64, group: GroupNumber },
     /// To the predecessor, from a store that has stayed behind in the view: check the sender's state of these groups again
     /// and send what it lacks.
-    RecheckGroups {
-        epoch: u64,
-        groups: Vec<GroupNumber>
-    },
+    RecheckGroups { epoch: u64, groups: Vec<GroupNumber> },
     /// From a learner: reads the entries after a position, or a copy of the group if they are no longer kept.
-    FetchEntries {
-        epoch: u64,
-        group: GroupNumber,
-        after: EntryPosition
-    },
+    FetchEntries { epoch: u64, group: GroupNumber, after: EntryPosition },
     /// From the predecessor in the chain: replaces the store's state of a group by a copy.
-    InstallCopy {
-        epoch: u64,
-        group: GroupNumber,
-        copy: GroupSnapshot
-    },
+    InstallCopy { epoch: u64, group: GroupNumber, copy: GroupSnapshot },
     /// Reads the store's counters.
     Counters,
 }
