--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -18,56 +18,56 @@
 #[derive(Default)]
 struct Last {
     relay: Option<(JobId, ServerId)>,
-    call: Option<CountName>,
+    call: Option<CounterKey>,
 }
 
 impl Host for Last {
     fn relay(&mut self, job: JobId, server: ServerId, _: Span) {
         self.relay = Some((job, server));
     }
-    fn withdraw(&mut self, _: JobId, _: u8) {}
-    fn dismiss(&mut self, _: JobId, _: Option<Span>) {}
-    fn forfeit(&mut self, _: JobId) {}
-    fn wake(&mut self, _: Span, _: u64) {}
-    fn add(&mut self, name: CountName, _: f64, _: Span) {
+    fn cancel_relay(&mut self, _: JobId, _: u8) {}
+    fn reject(&mut self, _: JobId, _: Option<Span>) {}
+    fn fail(&mut self, _: JobId) {}
+    fn set_timer(&mut self, _: Span, _: u64) {}
+    fn add_to_counter(&mut self, name: CounterKey, _: f64, _: Span) {
         self.call = Some(name);
     }
-    fn follow_roster(&mut self) {}
+    fn subscribe_to_roster(&mut self) {}
 }
 
 /// Three plans as on the mass days: a small hard rate, a cap on relays out, a soft one with a ceiling.
 fn deployment(gateways: u32) -> Deployment {
-    let band = |target| Band {
-        target: Span::from_millis(target),
+    let band = |target| ServiceClass {
+        latency_target: Span::from_millis(target),
         benefit: 1.0,
-        late_share: 0.2,
-        repeat: Repeat::Pure,
+        late_benefit_share: 0.2,
+        repeat: RepeatPolicy::Idempotent,
     };
     let ceiling = Ceiling { rate: 65.0, burst: 136.0, slack: 14.0 };
     Deployment {
-        gateways,
+        gateway_count: gateways,
         tick: Span::from_millis(1),
-        bands: vec![band(1_100), band(735)],
+        classes: vec![band(1_100), band(735)],
         plans: vec![
-            Plan { rate: 1.6, burst: 8.0, price: 0.72, over_cost: 1.2, ..Plan::default() },
-            Plan { relays_out: 2.0, price: 1.2, over_cost: 0.5, ..Plan::default() },
+            Plan { rate: 1.6, burst: 8.0, price: 0.72, overage_cost: 1.2, ..Plan::default() },
+            Plan { max_concurrent_relays: 2.0, price: 1.2, overage_cost: 0.5, ..Plan::default() },
             Plan {
                 rate: 30.0,
                 burst: 65.0,
                 price: 1.6,
-                over_share: 0.2,
+                overage_share: 0.2,
                 ceiling: Some(ceiling),
                 ..Plan::default()
             },
         ],
         has_counter: true,
-        may_withdraw: true,
-        most_relays: 5,
-        cold: Cold {
-            share: 0.21,
+        may_cancel_relays: true,
+        max_relays: 5,
+        cold_start: ColdStart {
+            initial_share: 0.21,
             warm_after: Span::from_millis(16_000),
-            fall_multiple: 2.0,
-            fall_span: Span::from_millis(1_000),
+            overload_multiple: 2.0,
+            overload_window: Span::from_millis(1_000),
         },
         ..Deployment::default()
     }
@@ -83,7 +83,7 @@
     fn new(gateways: u32) -> Self {
         let now = Moment::from_micros(1_800_000_000_000_000);
         let mut gateway = Gateway::start(now, Last::default(), deployment(gateways), 7);
-        let entry = |server| Entry {
+        let entry = |server| RosterEntry {
             server,
             health: Health::Ready,
             rating: 1.0,
@@ -91,7 +91,7 @@
             cell: (server % 40) as u16,
             started: None,
         };
-        gateway.roster_listed(now, (0..SERVERS).map(entry));
+        gateway.roster_replaced(now, (0..SERVERS).map(entry));
         let mut play = Self { gateway, now, job: 0 };
         // Every customer is known once before the rounds are timed.
         for _ in 0..CUSTOMERS {
@@ -108,24 +108,30 @@
         let arrival = Arrival {
             job,
             customer,
-            band: (job % 2) as usize,
+            class: (job % 2) as usize,
             plan: (customer % 3) as usize,
             units: 1.0 + (job % 4) as f64,
-            set_first: 0,
-            set_size: 150,
-            abandon: self.now + Span::from_millis(2_000),
+            first_gateway: 0,
+            gateway_set_size: 150,
+            abandon_at: self.now + Span::from_millis(2_000),
         };
         self.gateway.job_arrived(self.now, arrival);
         if let Some(name) = self.gateway.host.call.take() {
-            self.gateway.counted(self.now + Span::from_millis(2), name, Some(1.0), Outcome::Satisfied);
+            self.gateway.counter_replied(
+                self.now + Span::from_millis(2),
+                name,
+                Some(1.0),
+                Outcome::Succeeded,
+            );
         }
         if let Some((job, server)) = self.gateway.host.relay.take() {
             let took = Span::from_millis(70);
-            let end = RelayEnd { job, server, outcome: Outcome::Satisfied, took, settled: true };
+            let end =
+                RelayEnd { job, server, outcome: Outcome::Succeeded, duration: took, job_finished: true };
             self.gateway.relay_ended(self.now + took, end);
         }
         // What is left of the job ends here, as a client that goes away would end it.
-        self.gateway.job_left(self.now, job);
+        self.gateway.job_closed(self.now, job);
     }
 }
 
--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -2,9 +2,9 @@
 
 use crate::frame::{Batch, Record, Reply};
 use fennelgauge::choice::Gateway;
-use fennelgauge::host::{Arrival, CountName, Entry, Health, Host, JobId, Outcome, RelayEnd, ServerId};
+use fennelgauge::host::{Arrival, CounterKey, Health, Host, JobId, Outcome, RelayEnd, RosterEntry, ServerId};
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_launch::Launch;
+use fennelgauge_launch::LaunchSettings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,27 +40,27 @@
         self.push(1110, [&job.to_le_bytes(), &server.to_le_bytes(), &wide(patience)]);
     }
 
-    fn withdraw(&mut self, job: JobId, relay: u8) {
+    fn cancel_relay(&mut self, job: JobId, relay: u8) {
         self.push(1080, [&job.to_le_bytes(), &[relay], &[]]);
     }
 
-    fn dismiss(&mut self, job: JobId, hold_off: Option<Span>) {
+    fn reject(&mut self, job: JobId, hold_off: Option<Span>) {
         self.push(1100, [&job.to_le_bytes(), &wide(hold_off.unwrap_or_default()), &[]]);
     }
 
-    fn forfeit(&mut self, job: JobId) {
+    fn fail(&mut self, job: JobId) {
         self.push(1030, [&job.to_le_bytes(), &[], &[]]);
     }
 
-    fn wake(&mut self, after: Span, mark: u64) {
+    fn set_timer(&mut self, after: Span, mark: u64) {
         self.push(1050, [&wide(after), &mark.to_le_bytes(), &[]]);
     }
 
-    fn add(&mut self, name: CountName, amount: f64, keep: Span) {
+    fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span) {
         self.push(1070, [&name.to_le_bytes(), &(amount as f32).to_le_bytes(), &wide(keep)]);
     }
 
-    fn follow_roster(&mut self) {
+    fn subscribe_to_roster(&mut self) {
         self.push(1010, [&[1], &[], &[]]);
     }
 }
@@ -82,7 +82,7 @@
         match record.u16(0) {
             1030 => {
                 let text = record.bytes(12).ok_or("settings out of bounds")?;
-                let launch: Launch =
+                let launch: LaunchSettings =
                     serde_json::from_slice(text).map_err(|error| format!("settings: {error}"))?;
                 let line = Line { who: who.to_le_bytes(), reply: Rc::clone(&self.reply) };
                 self.gateways.insert(who, Gateway::start(now, line, launch.deployment, record.u64(4)));
@@ -100,9 +100,9 @@
                 let entries = record.pieces(9, ENTRY).ok_or("roster out of bounds")?.map(entry);
                 match record.u8(4) {
                     0 => gateway.roster_changed(now, entries),
-                    1 | 2 => gateway.roster_listed(now, entries),
+                    1 | 2 => gateway.roster_replaced(now, entries),
                     // It could not be had; the old one stands.
-                    _ => gateway.host.follow_roster(),
+                    _ => gateway.host.subscribe_to_roster(),
                 }
             }
             1100 => gateway.job_arrived(now, arrival(record)?),
@@ -114,18 +114,18 @@
                         job: record.u64(4),
                         server: record.u32(13),
                         outcome,
-                        took: Span::from_micros(record.u32(19).into()),
-                        settled: record.u8(23) != 0,
+                        duration: Span::from_micros(record.u32(19).into()),
+                        job_finished: record.u8(23) != 0,
                     },
                 );
             }
-            1050 | 1070 => gateway.job_left(now, record.u64(4)),
+            1050 | 1070 => gateway.job_closed(now, record.u64(4)),
             1020 => gateway.timer_fired(now, record.u64(4)),
             1060 => {
                 let outcome = outcome(record.u16(12)).ok_or("unknown outcome")?;
                 let total = Some(f64::from(record.f32(14)))
-                    .filter(|total| outcome == Outcome::Satisfied && total.is_finite());
-                gateway.counted(now, record.u64(4), total, outcome);
+                    .filter(|total| outcome == Outcome::Succeeded && total.is_finite());
+                gateway.counter_replied(now, record.u64(4), total, outcome);
             }
             // Probes and messages between gateways are not used.
             1040 | 1090 => {}
@@ -143,32 +143,32 @@
     Ok(Arrival {
         job: record.u64(4),
         customer: record.u64(37),
-        band: record.u16(45).into(),
+        class: record.u16(45).into(),
         plan: record.u32(16) as usize,
         units,
-        set_first: record.f32(12) as u32,
-        set_size: (set_size as u32).max(1),
-        abandon: Moment::from_micros(record.u64(24)),
+        first_gateway: record.f32(12) as u32,
+        gateway_set_size: (set_size as u32).max(1),
+        abandon_at: Moment::from_micros(record.u64(24)),
     })
 }
 
 fn outcome(status: u16) -> Option<Outcome> {
     Some(match status {
-        0 => Outcome::Satisfied,
+        0 => Outcome::Succeeded,
         255 => Outcome::Error,
         254 => Outcome::Full,
         253 => Outcome::TimedOut,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
-        250 => Outcome::Withdrawn,
+        250 => Outcome::Cancelled,
         249 => Outcome::NotSent,
         _ => return None,
     })
 }
 
-fn entry(record: Record) -> Entry {
+fn entry(record: Record) -> RosterEntry {
     let since = record.u64(13);
-    Entry {
+    RosterEntry {
         server: record.u32(3),
         health: match record.u8(2) {
             0 => Health::Gone,
--- a/crates/gateway/src/lifecycle/configuration.rs
+++ b/crates/gateway/src/lifecycle/configuration.rs
@@ -1,7 +1,7 @@
 //! What the gateway is told at its start, decoded once.
 
 use crate::wire::discovery::Listing;
-use fennelgauge_launch::Launch;
+use fennelgauge_launch::LaunchSettings;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     pub limits: Limits,
     #[serde(default)]
     pub known: Listing,
-    pub settings: Launch,
+    pub settings: LaunchSettings,
     /// Where datagrams of other gateways arrive, and where they take them in, by their numbers. Read only where they
     /// are wanted: what is wrong with them then must not keep a gateway from its start that speaks with none.
     #[serde(default)]
--- a/crates/gateway/src/lifecycle/run.rs
+++ b/crates/gateway/src/lifecycle/run.rs
@@ -17,9 +17,9 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction};
 use fennelgauge::choice::Gateway;
-use fennelgauge::host::{Outcome, JOB_IDS};
+use fennelgauge::host::{Outcome, JOB_ID_LIMIT};
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_launch::operator::Operator;
+use fennelgauge_launch::operator::OperatorConfig;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -42,11 +42,11 @@
 const FRESH: Span = Span::from_millis(20);
 
 /// Runs a gateway; `path` is where its configuration may be read anew.
-pub fn run(start: Start, path: PathBuf, operator: Operator) -> Result<(), Box<dyn std::error::Error>> {
+pub fn run(start: Start, path: PathBuf, operator: OperatorConfig) -> Result<(), Box<dyn std::error::Error>> {
     let mut events: EventLoop<'static, Limiter> = EventLoop::try_new()?;
     let handle = events.handle();
     let mut wanted = vec![Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
-    if operator.membership.on {
+    if operator.membership.enabled {
         wanted.push(Signal::SIGUSR1);
     }
     let signals = Signals::new(&wanted)?;
@@ -79,9 +79,9 @@
             listen: start.peer_listen.as_ref(),
             peers: start.peers.as_ref(),
             own: launch.deployment.own_index,
-            gateways: launch.deployment.gateways,
-            zone: launch.zone,
-            mail_per_s: launch.mail_per_s,
+            gateways: launch.deployment.gateway_count,
+            zone: launch.own_zone,
+            mail_per_s: launch.peer_messages_per_s,
             seed: start.seed,
         },
     );
@@ -93,13 +93,13 @@
         };
         handle.insert_source(source, came).map_err(|error| error.error)?;
     }
-    let bands = launch.deployment.bands.iter();
+    let bands = launch.deployment.classes.iter();
     let names = Names {
         repeats: bands.map(|band| band.repeat).collect(),
-        bands: launch.bands,
-        plans: launch.plans,
-        most_units: launch.most_units,
-        gateways: launch.deployment.gateways,
+        bands: launch.service_class_names,
+        plans: launch.plan_names,
+        most_units: launch.max_units,
+        gateways: launch.deployment.gateway_count,
     };
     let memory = start.limits.memory_mb.saturating_mul(1024 * 1024);
     let by_memory = memory / http::MOST_MESSAGE;
@@ -118,11 +118,11 @@
         clients: HashMap::new(),
         links: HashMap::new(),
         machines: Machines::default(),
-        zones: launch.zones,
+        zones: launch.zone_names,
         // A good part less than the server allows, for the way there.
-        idle: launch.idle.times(0.75),
-        connect_within: launch.connect_within,
-        counter: Counter::new(start.counter, launch.count_within),
+        idle: launch.server_idle_timeout.times(0.75),
+        connect_within: launch.connect_timeout,
+        counter: Counter::new(start.counter, launch.counter_timeout),
         discovery: Discovery::new(start.discovery, start.known),
         peers,
         stop: Stop::new(listener, token),
@@ -262,7 +262,7 @@
     fn next_due(&mut self) -> Option<(Moment, Due)> {
         let Self { timers, jobs, links, counter, .. } = self;
         timers.next(|due| match due {
-            Due::Module(mark) => mark >= JOB_IDS || jobs.open.contains_key(&mark),
+            Due::Module(mark) => mark >= JOB_ID_LIMIT || jobs.open.contains_key(&mark),
             Due::Patience(key, serial) => links.get(&key).is_some_and(|link| link.carries(serial)),
             Due::Connected(key) => links.get(&key).is_some_and(|link| !link.up),
             Due::Counted(number) => counter.awaits(number),
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -7,7 +7,7 @@
 mod wire;
 
 use clap::Parser;
-use fennelgauge_launch::operator::Operator;
+use fennelgauge_launch::operator::OperatorConfig;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -32,7 +32,7 @@
         return ExitCode::FAILURE;
     };
     let path = PathBuf::from(path);
-    let operator = line.operator.map_or(Ok(Operator::default()), |file| Operator::read(&file));
+    let operator = line.operator.map_or(Ok(OperatorConfig::default()), |file| OperatorConfig::read(&file));
     let start = lifecycle::configuration::read(&path).map_err(Into::into);
     let outcome = start.and_then(|start| lifecycle::run::run(start, path, operator?));
     match outcome {
--- a/crates/gateway/src/memory/machines.rs
+++ b/crates/gateway/src/memory/machines.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::channel::Channel;
 use crate::wire::discovery::{Health, Line, Listing};
-use fennelgauge::host::{Entry, JobId, ServerId};
+use fennelgauge::host::{JobId, RosterEntry, ServerId};
 use fennelgauge::time::{Moment, Span};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashMap, HashSet};
@@ -67,7 +67,7 @@
         now: Moment,
         listing: Listing,
         zones: &[String],
-    ) -> (Vec<Entry>, HashSet<ServerId>) {
+    ) -> (Vec<RosterEntry>, HashSet<ServerId>) {
         let (mut entries, mut left) = (Vec::with_capacity(listing.hosts.len()), HashSet::new());
         if listing.whole {
             // What the list lacks is gone; what it has is set below.
@@ -115,9 +115,9 @@
     number
 }
 
-fn entry(server: ServerId, line: &Line, zones: &[String]) -> Entry {
+fn entry(server: ServerId, line: &Line, zones: &[String]) -> RosterEntry {
     let zone = zones.iter().position(|zone| *zone == line.site);
-    Entry {
+    RosterEntry {
         server,
         health: line.health.into(),
         rating: line.share,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -4,7 +4,7 @@
 mod log;
 
 use crate::sockets::{settle, Limiter};
-use fennelgauge::host::Wanted as Units;
+use fennelgauge::host::ConditionalAdd as Units;
 use fennelgauge::time::Moment;
 use fennelgauge_launch::operator::Membership;
 use fennelgauge_membership::circle::{Circle, Terms};
@@ -90,7 +90,7 @@
 impl Peers {
     /// None where the operator does not want it, or where it cannot be: then no socket is opened and nothing is sent.
     pub fn open(now: Moment, wanted: &Wanted) -> Option<Self> {
-        if !wanted.membership.on {
+        if !wanted.membership.enabled {
             return None;
         }
         let (listen, addresses) = match wanted.addresses() {
@@ -113,18 +113,18 @@
             of: wanted.gateways as Number,
             zone: wanted.zone,
             mail_per_s: wanted.mail_per_s,
-            counts: wanted.membership.counts,
+            counts: wanted.membership.peer_counting,
             seed: wanted.seed,
         };
         let numbered = addresses.iter().enumerate();
         let numbers = numbered.filter_map(|(number, at)| Some(((*at)?, number as Number))).collect();
-        info!(side = "member", %listen, counts = terms.counts, shares = wanted.membership.shares, "membership on");
+        info!(side = "member", %listen, counts = terms.counts, shares = wanted.membership.share_quotas, "membership on");
         Some(Self {
             socket,
             addresses,
             numbers,
             circle: Circle::start(now, terms),
-            shares: wanted.membership.shares,
+            shares: wanted.membership.share_quotas,
             counted: VecDeque::new(),
             log: Log::new(now),
         })
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -13,7 +13,7 @@
 use crate::wire::server;
 use calloop::LoopHandle;
 use fennelgauge::choice::Gateway;
-use fennelgauge::host::{CountName, Host, JobId, Outcome, RelayEnd, ServerId, Wanted};
+use fennelgauge::host::{ConditionalAdd, CounterKey, Host, JobId, Outcome, RelayEnd, ServerId};
 use fennelgauge::time::{Moment, Span};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -78,7 +78,7 @@
     pub looked: Moment,
     /// What has ended inside a call from the module; it is told after that call.
     pub ended: VecDeque<RelayEnd>,
-    pub counted: VecDeque<(CountName, Option<f64>, Outcome)>,
+    pub counted: VecDeque<(CounterKey, Option<f64>, Outcome)>,
     pub left: VecDeque<JobId>,
     /// Clients whose next request may have come already.
     pub resumed: VecDeque<u64>,
@@ -95,7 +95,7 @@
         self.moved.insert(moved);
     }
 
-    pub fn count(&mut self, name: CountName, total: Option<f64>, outcome: Outcome) {
+    pub fn count(&mut self, name: CounterKey, total: Option<f64>, outcome: Outcome) {
         self.counted.push_back((name, total, outcome));
     }
 }
@@ -107,13 +107,13 @@
         if let Some(end) = limiter.host.ended.pop_front() {
             limiter.relay_ended(now, end);
         } else if let Some((name, total, outcome)) = limiter.host.counted.pop_front() {
-            limiter.counted(now, name, total, outcome);
+            limiter.counter_replied(now, name, total, outcome);
         } else if let Some(job) = limiter.host.left.pop_front() {
-            limiter.job_left(now, job);
+            limiter.job_closed(now, job);
         } else if let Some(key) = limiter.host.resumed.pop_front() {
             client::serve(limiter, key);
         } else if let Some((name, total)) = limiter.host.peers.as_mut().and_then(Peers::counted) {
-            limiter.counted_among(now, name, total);
+            limiter.peer_count_replied(now, name, total);
         } else if !limiter.host.flush_calls() {
             if let Some(peers) = &mut limiter.host.peers {
                 peers.send(now);
@@ -128,64 +128,69 @@
         self.look_at_client_of(job);
         let now = self.clock.now();
         let Some(record) = self.jobs.open.get_mut(&job) else {
-            let end = RelayEnd { job, server, outcome: Outcome::NotSent, took: Span::ZERO, settled: true };
+            let end =
+                RelayEnd { job, server, outcome: Outcome::NotSent, duration: Span::ZERO, job_finished: true };
             return self.ended.push_back(end);
         };
         let number = record.relays;
         record.relays = number.saturating_add(1);
         match self.link_to(server, now) {
             Ok(key) => self.send(key, job, number, now, patience),
-            Err(outcome) => {
-                self.ended.push_back(RelayEnd { job, server, outcome, took: Span::ZERO, settled: false })
-            }
+            Err(outcome) => self.ended.push_back(RelayEnd {
+                job,
+                server,
+                outcome,
+                duration: Span::ZERO,
+                job_finished: false,
+            }),
         }
     }
 
-    fn withdraw(&mut self, job: JobId, relay: u8) {
+    fn cancel_relay(&mut self, job: JobId, relay: u8) {
         let out = self.jobs.open.get(&job).and_then(|record| record.out);
         let is_it = |link: &Link| link.out.as_ref().is_some_and(|out| (out.job, out.number) == (job, relay));
         if let Some(key) = out.filter(|key| self.links.get(key).is_some_and(is_it)) {
-            self.close_link(key, Some(Outcome::Withdrawn), "withdrawn");
+            self.close_link(key, Some(Outcome::Cancelled), "withdrawn");
         }
     }
 
-    fn dismiss(&mut self, job: JobId, hold_off: Option<Span>) {
+    fn reject(&mut self, job: JobId, hold_off: Option<Span>) {
         self.finish(job, |out, keep| request::own(out, 429, hold_off, keep));
     }
 
-    fn forfeit(&mut self, job: JobId) {
+    fn fail(&mut self, job: JobId) {
         self.finish(job, |out, keep| request::own(out, 502, None, keep));
     }
 
-    fn wake(&mut self, after: Span, mark: u64) {
+    fn set_timer(&mut self, after: Span, mark: u64) {
         // Never at once, and all that is due within one tick together.
         let tick = self.tick.micros().max(1);
         let at = (self.clock.now() + after).micros() / tick * tick;
         self.timers.set(Moment::from_micros(at.saturating_add(tick)), Due::Module(mark));
     }
 
-    fn add(&mut self, name: CountName, amount: f64, keep: Span) {
+    fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span) {
         self.call(name, amount, keep);
     }
 
-    fn counts_among(&mut self) -> bool {
+    fn peers_can_count(&mut self) -> bool {
         let now = self.clock.now();
         self.peers.as_mut().is_some_and(|peers| peers.may_count(now))
     }
 
-    fn add_among(&mut self, name: CountName, amount: f64, wanted: Wanted) {
+    fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
         let now = self.clock.now();
         if let Some(peers) = &mut self.peers {
             peers.add(now, name, amount, wanted);
         }
     }
 
-    fn sharers(&mut self, first: u32, set_size: f64) -> f64 {
+    fn quota_sharers(&mut self, first: u32, set_size: f64) -> f64 {
         let now = self.clock.now();
         self.peers.as_mut().map_or(set_size, |peers| peers.sharers(now, first, set_size))
     }
 
-    fn follow_roster(&mut self) {
+    fn subscribe_to_roster(&mut self) {
         self.watch_soon();
     }
 }
--- a/crates/gateway/src/wire/counter.rs
+++ b/crates/gateway/src/wire/counter.rs
@@ -4,7 +4,7 @@
 use crate::memory::channel::{Channel, Filled};
 use crate::memory::timers::Due;
 use crate::sockets::{settle, Limiter, Moved, Sockets};
-use fennelgauge::host::{CountName, Outcome};
+use fennelgauge::host::{CounterKey, Outcome};
 use fennelgauge::time::{Moment, Span};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 }
 
 struct Call {
-    name: CountName,
+    name: CounterKey,
     number: u64,
     /// The bytes handed to the connection up to its last.
     end: u64,
@@ -71,7 +71,7 @@
     }
 }
 
-fn bump(out: &mut Vec<u8>, name: CountName, amount: f64, keep: Span) {
+fn bump(out: &mut Vec<u8>, name: CounterKey, amount: f64, keep: Span) {
     // Seven digits of a total are exact; finer parts of an amount would be lost in it.
     http::put(out, format_args!("bump {name:016x} {amount:.4} {}\r\n", (keep.micros() / 1_000).max(1)));
 }
@@ -82,7 +82,7 @@
     match line.split_once(' ') {
         Some(("ok", total)) => {
             let total = total.trim().parse::<f64>().ok().filter(|total| total.is_finite())?;
-            Some((Some(total), Outcome::Satisfied))
+            Some((Some(total), Outcome::Succeeded))
         }
         _ if line == "busy" => Some((None, Outcome::Full)),
         _ if line == "error" => Some((None, Outcome::Error)),
@@ -111,7 +111,7 @@
 }
 
 impl Sockets {
-    pub fn call(&mut self, name: CountName, amount: f64, keep: Span) {
+    pub fn call(&mut self, name: CounterKey, amount: f64, keep: Span) {
         let now = self.clock.now();
         if self.counter.present().is_none() {
             self.open_counter();
--- a/crates/gateway/src/wire/discovery.rs
+++ b/crates/gateway/src/wire/discovery.rs
@@ -173,7 +173,7 @@
     let (entries, left) = host.machines.learn(now, listing, &host.zones);
     host.leave_servers(&left);
     if whole {
-        limiter.roster_listed(now, entries.into_iter());
+        limiter.roster_replaced(now, entries.into_iter());
     } else {
         limiter.roster_changed(now, entries.into_iter());
     }
--- a/crates/gateway/src/wire/request.rs
+++ b/crates/gateway/src/wire/request.rs
@@ -1,7 +1,7 @@
 //! Requests of clients, read into jobs, and the answers to them.
 
 use super::http::{self, Length, Wrong};
-use fennelgauge::host::{Arrival, CustomerId, Repeat};
+use fennelgauge::host::{Arrival, CustomerId, RepeatPolicy};
 use fennelgauge::time::{Moment, Span};
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     pub bands: Vec<String>,
     pub plans: Vec<String>,
     /// Of the bands: whether a repeat is harmless, and whether servers know it by a mark.
-    pub repeats: Vec<Repeat>,
+    pub repeats: Vec<RepeatPolicy>,
     /// The most units that a job takes.
     pub most_units: f64,
     pub gateways: u32,
@@ -72,7 +72,7 @@
         let (id, arrival) = arrival(head.headers, now, names).ok_or(Wrong(400))?;
         // Servers close on what they cannot read: it must not cost a connection to one, nor speak against it.
         let readable = path.starts_with('/') && path.bytes().all(|byte| byte.is_ascii_graphic());
-        let pure = matches!(names.repeats[arrival.band], Repeat::Pure);
+        let pure = matches!(names.repeats[arrival.class], RepeatPolicy::Idempotent);
         if !readable || pure != (method == "GET") || (pure && !body.is_empty()) {
             return Err(Wrong(400));
         }
@@ -120,18 +120,18 @@
     }
     let band = names.bands.iter().position(|name| name == band)?;
     // Rule 2: without its mark a repeat would be taken for another job.
-    if matches!(names.repeats.get(band)?, Repeat::Receipted(..)) {
+    if matches!(names.repeats.get(band)?, RepeatPolicy::Deduplicated(..)) {
         header("idempotency-key")?;
     }
     let arrival = Arrival {
         job: 0,
         customer: customer(header("cookie")?)?,
-        band,
+        class: band,
         plan: names.plans.iter().position(|name| name == plan)?,
         units: units.filter(|units| *units > 0.0 && *units <= names.most_units)?,
-        set_first: set_first.filter(|first| *first < names.gateways)?,
-        set_size: set_size.filter(|size| (1..=names.gateways).contains(size))?,
-        abandon: now + Span::from_millis(left),
+        first_gateway: set_first.filter(|first| *first < names.gateways)?,
+        gateway_set_size: set_size.filter(|size| (1..=names.gateways).contains(size))?,
+        abandon_at: now + Span::from_millis(left),
     };
     Some((id.to_string(), arrival))
 }
--- a/crates/gateway/src/wire/request/tests.rs
+++ b/crates/gateway/src/wire/request/tests.rs
@@ -1,12 +1,13 @@
 use super::*;
-use fennelgauge::host::Group;
+use fennelgauge::host::DedupScope;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use std::cell::Cell;
 
 fn names() -> Names {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
-    let repeats = vec![Repeat::Pure, Repeat::Receipted(Group::All, Span::from_millis(1_000))];
+    let repeats =
+        vec![RepeatPolicy::Idempotent, RepeatPolicy::Deduplicated(DedupScope::All, Span::from_millis(1_000))];
     Names { bands: names(&["look", "post"]), plans: names(&["team"]), repeats, most_units: 6.0, gateways: 3 }
 }
 
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -17,7 +17,7 @@
         header.name.eq_ignore_ascii_case("x-unprocessed") && header.value.trim_ascii() == b"1"
     };
     match answer.status {
-        200 => Outcome::Satisfied,
+        200 => Outcome::Succeeded,
         503 | 504 if answer.headers.iter().any(unrun) => Outcome::Full,
         _ => Outcome::Error,
     }
@@ -39,7 +39,7 @@
     };
     limiter.host.look_at_client_of(job);
     let now = limiter.host.clock.now();
-    match limiter.relay_begins(now, job) {
+    match limiter.relay_connected(now, job) {
         Some(patience) => limiter.host.begin(key, patience),
         None => limiter.host.take_back(key),
     }
@@ -181,7 +181,7 @@
             Ok(Some(answer)) => {
                 let (job, outcome) = (relay.job, outcome(&answer));
                 let keep = answer.keep && whole && open && answer.used == link.channel.input.len();
-                if let (Outcome::Satisfied, Some(record)) = (outcome, self.jobs.open.get(&job)) {
+                if let (Outcome::Succeeded, Some(record)) = (outcome, self.jobs.open.get(&job)) {
                     let client = self.clients.get_mut(&record.client);
                     if let Some(client) = client {
                         let keep = client.keep && !self.stop.begun();
@@ -190,7 +190,7 @@
                     }
                 }
                 link.channel.used(usize::MAX);
-                if outcome == Outcome::Satisfied {
+                if outcome == Outcome::Succeeded {
                     self.finish(job, |_, _| {});
                 }
                 self.relay_over(key, outcome);
@@ -237,7 +237,13 @@
             record.out = None;
         }
         let took = now.since(relay.sent);
-        self.ended.push_back(RelayEnd { job: relay.job, server: link.server, outcome, took, settled });
+        self.ended.push_back(RelayEnd {
+            job: relay.job,
+            server: link.server,
+            outcome,
+            duration: took,
+            job_finished: settled,
+        });
     }
 
     /// Closes a connection to a server. A relay on it ends as told, if its last byte was written.
@@ -247,7 +253,7 @@
         let unsent = link.out.as_ref().is_some_and(|out| !out.begun) || link.channel.unwritten() > 0;
         let outcome = match outcome {
             // Given up from this side, it says nothing against the server.
-            Some(Outcome::Withdrawn | Outcome::NotSent) if unsent => Outcome::NotSent,
+            Some(Outcome::Cancelled | Outcome::NotSent) if unsent => Outcome::NotSent,
             _ if unsent => Outcome::ConnectFailed,
             told => told.unwrap_or(Outcome::Reset),
         };
--- a/crates/lab/src/run/agent.rs
+++ b/crates/lab/src/run/agent.rs
@@ -3,7 +3,7 @@
 use super::http::{self, Reader};
 use super::stage::Shared;
 use crate::record::Event;
-use fennelgauge::host::{Entry, Health};
+use fennelgauge::host::{Health, RosterEntry};
 use serde_json::{json, Value};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -28,7 +28,7 @@
 }
 
 /// The list in discovery's form, with the addresses at which that class reaches the servers.
-pub fn listing(stage: &Shared, seq: usize, whole: bool, entries: &[Entry], class: usize) -> Value {
+pub fn listing(stage: &Shared, seq: usize, whole: bool, entries: &[RosterEntry], class: usize) -> Value {
     let world = stage.world.borrow();
     let zones = &world.scenario.deployment.zones;
     let hosts = entries.iter().map(|entry| {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-pub use fennelgauge_launch::operator::Mistake;
+pub use fennelgauge_launch::operator::ConfigError;
 
 /// Spans are in the unit that ends the name, `_s` or `_ms`; shares lie from 0 to 1.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
@@ -490,18 +490,18 @@
 const MOST_MS: f64 = 600_000.0;
 
 impl Scenario {
-    pub fn read(path: &Path) -> Result<Self, Mistake> {
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path);
         let text =
-            text.map_err(|error| Mistake { file: file.clone(), line: 0, reason: error.to_string() })?;
+            text.map_err(|error| ConfigError { file: file.clone(), line: 0, reason: error.to_string() })?;
         Self::parse(&file, &text)
     }
 
     /// Reads and checks a scenario; `file` is what errors call it.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Mistake> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         let line_at = |offset: usize| 1 + text[..offset.min(text.len())].matches('\n').count();
-        let scenario: Self = toml::from_str(text).map_err(|error| Mistake {
+        let scenario: Self = toml::from_str(text).map_err(|error| ConfigError {
             file: file.to_string(),
             line: error.span().map_or(0, |span| line_at(span.start)),
             reason: error.message().to_string(),
@@ -510,7 +510,7 @@
         scenario.check(&mut checks);
         match checks.0.into_iter().next() {
             None => Ok(scenario),
-            Some(wrong) => Err(Mistake {
+            Some(wrong) => Err(ConfigError {
                 file: file.to_string(),
                 line: place(text, &wrong.path).map_or(0, line_at),
                 reason: format!("{}: {}", wrong.path.join("."), wrong.reason),
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -418,12 +418,12 @@
         let arrival = Arrival {
             job: id,
             customer: customer.id,
-            band: entry.band,
+            class: entry.band,
             plan: customer.plan,
             units: f64::from(entry.units),
-            set_first: customer.first,
-            set_size: customer.set,
-            abandon: job.abandon,
+            first_gateway: customer.first,
+            gateway_set_size: customer.set,
+            abandon_at: job.abandon,
         };
         let node = &mut self.nodes[gateway as usize];
         node.open.insert(id);
@@ -457,7 +457,7 @@
                 Deed::Withdraw(job, nth) => {
                     let out = self.nodes[gateway as usize].relays.get(&(job, nth)).copied();
                     if let Some(relay) = out.filter(|relay| self.relays.contains_key(relay)) {
-                        self.ended(relay, Outcome::Withdrawn);
+                        self.ended(relay, Outcome::Cancelled);
                     }
                 }
                 Deed::Answer(job, how, hold_off) => self.answer(gateway, job, how, hold_off),
@@ -674,7 +674,7 @@
             self.world.effect(self.now, job, server);
             if there {
                 self.relay_over(number, RelayOver::Answered);
-                self.back(number, Outcome::Satisfied);
+                self.back(number, Outcome::Succeeded);
             }
             if self.relays.get(&number).is_some_and(|relay| !relay.awaited) {
                 self.relays.remove(&number);
@@ -693,7 +693,7 @@
         let there = relay.there;
         let node = &mut self.nodes[gateway as usize];
         match outcome {
-            Outcome::Satisfied | Outcome::Error | Outcome::Full => {
+            Outcome::Succeeded | Outcome::Error | Outcome::Full => {
                 self.relays.remove(&number);
                 node.rest_link(server, since, self.now);
             }
@@ -709,8 +709,8 @@
             }
         }
         let settled = !self.nodes[gateway as usize].open.contains(&job);
-        let end = RelayEnd { job, server, outcome, took: self.now.since(sent), settled };
-        if outcome == Outcome::Satisfied && !settled {
+        let end = RelayEnd { job, server, outcome, duration: self.now.since(sent), job_finished: settled };
+        if outcome == Outcome::Succeeded && !settled {
             self.nodes[gateway as usize].close(job);
             self.sends_back(gateway, job, Answer::Satisfied, None);
         }
@@ -762,7 +762,7 @@
         let (total, outcome, at) = match told {
             Told::Nothing => return,
             Told::Busy => (None, Outcome::Full, self.now),
-            Told::Total(total, at) => (Some(total), Outcome::Satisfied, at),
+            Told::Total(total, at) => (Some(total), Outcome::Succeeded, at),
         };
         let (from, to) = (Party::Counter, Party::Gateway(gateway));
         let id = self.number();
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -8,7 +8,7 @@
 use crate::told;
 use fennelgauge::choice::Gateway;
 use fennelgauge::host::{
-    Arrival, CountName, Deployment, Entry, Host, JobId, Outcome, RelayEnd, ServerId, Wanted,
+    Arrival, ConditionalAdd, CounterKey, Deployment, Host, JobId, Outcome, RelayEnd, RosterEntry, ServerId,
 };
 use fennelgauge::time::{Moment, Span};
 use fennelgauge_membership::circle::{Circle, Terms};
@@ -25,7 +25,7 @@
     Withdraw(JobId, u8),
     Answer(JobId, Answer, Option<Span>),
     Wake(Moment, u64),
-    Add(CountName, f64, Span),
+    Add(CounterKey, f64, Span),
 }
 
 #[derive(Clone, Default)]
@@ -48,39 +48,39 @@
     fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
         self.put(Deed::Relay(job, server, patience));
     }
-    fn withdraw(&mut self, job: JobId, relay: u8) {
+    fn cancel_relay(&mut self, job: JobId, relay: u8) {
         self.put(Deed::Withdraw(job, relay));
     }
-    fn dismiss(&mut self, job: JobId, hold_off: Option<Span>) {
+    fn reject(&mut self, job: JobId, hold_off: Option<Span>) {
         self.put(Deed::Answer(job, Answer::Dismissed, hold_off));
     }
-    fn forfeit(&mut self, job: JobId) {
+    fn fail(&mut self, job: JobId) {
         self.put(Deed::Answer(job, Answer::Forfeited, None));
     }
-    fn wake(&mut self, after: Span, mark: u64) {
+    fn set_timer(&mut self, after: Span, mark: u64) {
         // As the gateway on sockets does: never at once, and all of one tick together.
         let tick = self.tick.micros().max(1);
         let at = (self.now.get() + after).micros() / tick * tick;
         self.put(Deed::Wake(Moment::from_micros(at.saturating_add(tick)), mark));
     }
-    fn add(&mut self, name: CountName, amount: f64, keep: Span) {
+    fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span) {
         // The wire carries four digits after the point.
         self.put(Deed::Add(name, (amount * 1e4).round() / 1e4, keep));
     }
-    fn counts_among(&mut self) -> bool {
+    fn peers_can_count(&mut self) -> bool {
         self.circle.borrow_mut().as_mut().is_some_and(|circle| circle.may_count(self.now.get()))
     }
-    fn add_among(&mut self, name: CountName, amount: f64, wanted: Wanted) {
+    fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
         if let Some(circle) = self.circle.borrow_mut().as_mut() {
             circle.add(self.now.get(), name, amount, wanted);
         }
     }
-    fn sharers(&mut self, first: u32, set_size: f64) -> f64 {
+    fn quota_sharers(&mut self, first: u32, set_size: f64) -> f64 {
         let mut circle = self.circle.borrow_mut();
         let circle = circle.as_mut().filter(|_| self.shares);
         circle.map_or(set_size, |circle| circle.parts(self.now.get(), first, set_size))
     }
-    fn follow_roster(&mut self) {}
+    fn subscribe_to_roster(&mut self) {}
 }
 
 /// What comes of seeing to a gateway's circle.
@@ -122,7 +122,7 @@
         let launch = serde_json::from_value(told::settings(scenario, layout, number));
         // Settings that are made here are read there; without any, a gateway would stand alone.
         let deployment =
-            launch.map(|launch: fennelgauge_launch::Launch| launch.deployment).unwrap_or_default();
+            launch.map(|launch: fennelgauge_launch::LaunchSettings| launch.deployment).unwrap_or_default();
         let shares = scenario.membership.as_ref().is_some_and(|it| it.shares);
         let desk = Desk { tick: deployment.tick, shares, ..Desk::default() };
         let zone = layout.gateways.get(number as usize).and_then(|zone| u8::try_from(*zone).ok());
@@ -154,12 +154,12 @@
         self.is_up() && self.life == life
     }
 
-    pub fn start(&mut self, now: Moment, seed: u64, version: usize, entries: &[Entry]) {
+    pub fn start(&mut self, now: Moment, seed: u64, version: usize, entries: &[RosterEntry]) {
         self.life += 1;
         self.desk.now.set(now);
         let seed = of(seed, Use::Gateways, u64::from(self.number) << 20 | u64::from(self.life)).random();
         let circle = self.membership.as_ref().map(|membership| {
-            let (own, of) = (self.number as u16, self.deployment.gateways as u16);
+            let (own, of) = (self.number as u16, self.deployment.gateway_count as u16);
             let Self { zone, .. } = *self;
             let (mail_per_s, counts) = (membership.mail_per_s, membership.counts);
             Circle::start(now, Terms { own, of, zone, mail_per_s, counts, seed })
@@ -167,7 +167,7 @@
         *self.desk.circle.borrow_mut() = circle;
         self.looks = now;
         let mut gateway = Gateway::start(now, self.desk.clone(), self.deployment.clone(), seed);
-        gateway.roster_listed(now, entries.iter().copied());
+        gateway.roster_replaced(now, entries.iter().copied());
         (self.gateway, self.version) = (Some(gateway), version);
     }
 
@@ -217,14 +217,14 @@
     }
 
     pub fn left(&mut self, now: Moment, job: JobId) {
-        self.with(now, |gateway| gateway.job_left(now, job));
+        self.with(now, |gateway| gateway.job_closed(now, job));
     }
 
-    pub fn counted(&mut self, now: Moment, name: CountName, total: Option<f64>, outcome: Outcome) {
-        self.with(now, |gateway| gateway.counted(now, name, total, outcome));
+    pub fn counted(&mut self, now: Moment, name: CounterKey, total: Option<f64>, outcome: Outcome) {
+        self.with(now, |gateway| gateway.counter_replied(now, name, total, outcome));
     }
 
-    pub fn told(&mut self, now: Moment, entries: &[Entry]) {
+    pub fn told(&mut self, now: Moment, entries: &[RosterEntry]) {
         self.with(now, |gateway| gateway.roster_changed(now, entries.iter().copied()));
     }
 
@@ -255,7 +255,7 @@
                 break;
             }
             for (name, outcome) in results {
-                self.with(now, |gateway| gateway.counted_among(now, name, outcome));
+                self.with(now, |gateway| gateway.peer_count_replied(now, name, outcome));
             }
         }
         let mut circle = self.desk.circle.borrow_mut();
--- a/crates/lab/src/stand/discovery.rs
+++ b/crates/lab/src/stand/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::chance::{of, Use};
 use crate::scenario::Scenario;
-use fennelgauge::host::{Entry, Health, ServerId};
+use fennelgauge::host::{Health, RosterEntry, ServerId};
 use fennelgauge::time::{Moment, Span};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,13 +22,13 @@
     seed: u64,
     delay: [Span; 2],
     /// Every change so far; a version is how many of them are known.
-    changes: Vec<Entry>,
+    changes: Vec<RosterEntry>,
     agents: Vec<Agent>,
 }
 
 impl Discovery {
     /// All agents know the list that there is at first.
-    pub fn new(scenario: &Scenario, first: Vec<Entry>) -> Self {
+    pub fn new(scenario: &Scenario, first: Vec<RosterEntry>) -> Self {
         let agent = Agent { heard: first.len(), ..Agent::default() };
         Self {
             seed: scenario.seed,
@@ -39,7 +39,7 @@
     }
 
     /// Something has changed; every agent hears of it later, in the order of changes.
-    pub fn change(&mut self, now: Moment, entry: Entry) {
+    pub fn change(&mut self, now: Moment, entry: RosterEntry) {
         let [least, most] = self.delay;
         let version = self.changes.len() as u64;
         for (number, agent) in self.agents.iter_mut().enumerate() {
@@ -88,15 +88,15 @@
     }
 
     /// The latest word on each server among the changes from one version to another, those gone too.
-    pub fn between(&self, from: usize, to: usize) -> Vec<Entry> {
+    pub fn between(&self, from: usize, to: usize) -> Vec<RosterEntry> {
         let to = to.min(self.changes.len());
         let changes = self.changes[from.min(to)..to].iter();
-        let latest: BTreeMap<ServerId, Entry> = changes.map(|entry| (entry.server, *entry)).collect();
+        let latest: BTreeMap<ServerId, RosterEntry> = changes.map(|entry| (entry.server, *entry)).collect();
         latest.into_values().collect()
     }
 
     /// The whole list as of a version: what is gone is not on it.
-    pub fn whole(&self, version: usize) -> Vec<Entry> {
+    pub fn whole(&self, version: usize) -> Vec<RosterEntry> {
         let mut entries = self.between(0, version);
         entries.retain(|entry| entry.health != Health::Gone);
         entries
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -11,7 +11,7 @@
 use crate::stand::server::{Receipts, Server};
 use crate::target::Party;
 use crate::timeline::{Act, OnServer, Timeline, START};
-use fennelgauge::host::{Entry, Health, ServerId};
+use fennelgauge::host::{Health, RosterEntry, ServerId};
 use fennelgauge::time::{Moment, Span};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
     pub place: u32,
     pub model: Server,
     pub reach: Reach,
-    pub entry: Entry,
+    pub entry: RosterEntry,
     pub rating: f64,
     speed: f64,
     /// How often it has started: what belongs to an earlier life is void.
@@ -101,7 +101,7 @@
         let speed = least + (most - least) * drawn;
         let zone = self.timeline.layout.servers.get(place as usize).copied().unwrap_or_default();
         let cell = (place / figures.cell.max(1)) as u16;
-        let entry = Entry { server, health: Health::Ready, rating, zone, cell, started };
+        let entry = RosterEntry { server, health: Health::Ready, rating, zone, cell, started };
         let model = Server::new(&self.scenario, rating, speed, started, now);
         let health = Known { place, model, reach: Reach::Up, entry, rating, speed, life: 0 };
         self.servers.insert(server, health);
--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod operator;
 
-use fennelgauge::host::{Band, Ceiling, Cold, Deployment, Group, Plan, Repeat};
+use fennelgauge::host::{Ceiling, ColdStart, DedupScope, Deployment, Plan, RepeatPolicy, ServiceClass};
 use fennelgauge::time::Span;
 use serde::Deserialize;
 
@@ -145,38 +145,38 @@
 /// A deployment, the names that its lists go by, and the limits of its connections. Unknown keys are skipped.
 #[derive(Deserialize)]
 #[serde(from = "Params")]
-pub struct Launch {
+pub struct LaunchSettings {
     pub deployment: Deployment,
-    pub bands: Vec<String>,
-    pub plans: Vec<String>,
-    pub zones: Vec<String>,
+    pub service_class_names: Vec<String>,
+    pub plan_names: Vec<String>,
+    pub zone_names: Vec<String>,
     /// This gateway's own, by its place among them.
-    pub zone: Option<u8>,
+    pub own_zone: Option<u8>,
     /// Messages a second that a gateway takes in from the others; 0: gateways may send one another none.
-    pub mail_per_s: f64,
+    pub peer_messages_per_s: f64,
     /// Servers close a connection that stood idle for so long.
-    pub idle: Span,
-    pub connect_within: Span,
+    pub server_idle_timeout: Span,
+    pub connect_timeout: Span,
     /// The most units that a job takes; where untold, the most that the counter can add.
-    pub most_units: f64,
+    pub max_units: f64,
     /// A call to the counter that is not answered by then is given up.
-    pub count_within: Span,
+    pub counter_timeout: Span,
 }
 
-impl From<Params> for Launch {
+impl From<Params> for LaunchSettings {
     fn from(params: Params) -> Self {
         let zone = zone(&params);
         Self {
             deployment: deployment(&params),
-            bands: params.services.into_iter().map(|service| service.name).collect(),
-            plans: params.tariffs.into_iter().map(|tariff| tariff.name).collect(),
-            zone,
-            zones: params.zones,
-            mail_per_s: if params.caps.peers { params.extra.mail_per_s.max(0.0) } else { 0.0 },
-            idle: Span::from_micros(params.caps.conn_idle),
-            connect_within: Span::from_micros(params.caps.connect_timeout),
-            count_within: Span::from_micros(params.extra.counter_timeout),
-            most_units: if params.extra.max_units > 0.0 { params.extra.max_units } else { 1e9 },
+            service_class_names: params.services.into_iter().map(|service| service.name).collect(),
+            plan_names: params.tariffs.into_iter().map(|tariff| tariff.name).collect(),
+            own_zone: zone,
+            zone_names: params.zones,
+            peer_messages_per_s: if params.caps.peers { params.extra.mail_per_s.max(0.0) } else { 0.0 },
+            server_idle_timeout: Span::from_micros(params.caps.conn_idle),
+            connect_timeout: Span::from_micros(params.caps.connect_timeout),
+            counter_timeout: Span::from_micros(params.extra.counter_timeout),
+            max_units: if params.extra.max_units > 0.0 { params.extra.max_units } else { 1e9 },
         }
     }
 }
@@ -188,40 +188,40 @@
 
 fn deployment(params: &Params) -> Deployment {
     Deployment {
-        gateways: params.balancers.max(1),
+        gateway_count: params.balancers.max(1),
         own_index: params.self_index,
         tick: Span::from_micros(params.tick),
-        bands: params.services.iter().map(band).collect(),
+        classes: params.services.iter().map(band).collect(),
         plans: params.tariffs.iter().map(plan).collect(),
         has_counter: params.extra.has_counter,
-        may_withdraw: params.caps.may_cancel,
-        most_relays: params.caps.attempts_cap.max(1),
-        longest_hold_off: params.caps.retry_after.then(|| Span::from_micros(params.caps.max_retry_after)),
-        roster_is_asked: params.discovery == "subscribe",
-        cold: Cold {
-            share: params.rules.cold_from,
+        may_cancel_relays: params.caps.may_cancel,
+        max_relays: params.caps.attempts_cap.max(1),
+        max_retry_after: params.caps.retry_after.then(|| Span::from_micros(params.caps.max_retry_after)),
+        subscribe_to_roster: params.discovery == "subscribe",
+        cold_start: ColdStart {
+            initial_share: params.rules.cold_from,
             warm_after: Span::from_micros(params.rules.cold),
-            fall_multiple: params.rules.fall_multiple,
-            fall_span: Span::from_micros(params.rules.fall),
+            overload_multiple: params.rules.fall_multiple,
+            overload_window: Span::from_micros(params.rules.fall),
         },
     }
 }
 
-fn band(service: &Service) -> Band {
+fn band(service: &Service) -> ServiceClass {
     let group = match service.group.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
     };
     let repeat = match service.semantics.as_str() {
-        "read_like" => Repeat::Pure,
-        "idempotency_key" => Repeat::Receipted(group, Span::from_micros(service.repeat_window)),
-        _ => Repeat::Effectful,
+        "read_like" => RepeatPolicy::Idempotent,
+        "idempotency_key" => RepeatPolicy::Deduplicated(group, Span::from_micros(service.repeat_window)),
+        _ => RepeatPolicy::NonIdempotent,
     };
-    Band {
-        target: Span::from_micros(service.aim),
+    ServiceClass {
+        latency_target: Span::from_micros(service.aim),
         benefit: service.points.max(0.0),
-        late_share: service.late_worth,
+        late_benefit_share: service.late_worth,
         repeat,
     }
 }
@@ -230,10 +230,10 @@
     Plan {
         rate: tariff.refill,
         burst: tariff.store_size,
-        relays_out: tariff.parallel,
+        max_concurrent_relays: tariff.parallel,
         price: tariff.price.max(0.0),
-        over_share: tariff.over_worth,
-        over_cost: tariff.over_cost,
+        overage_share: tariff.over_worth,
+        overage_cost: tariff.over_cost,
         ceiling: (tariff.never_over_rate > 0.0).then_some(Ceiling {
             rate: tariff.never_over_rate,
             burst: tariff.ceiling_burst,
--- a/crates/launch/src/operator.rs
+++ b/crates/launch/src/operator.rs
@@ -7,14 +7,14 @@
 
 /// What is wrong with a file that somebody wrote, and where; the laboratory's scenarios tell theirs alike.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ConfigError {
     pub file: String,
     /// From 1; 0 where it is in no one line.
     pub line: usize,
     pub reason: String,
 }
 
-impl Display for Mistake {
+impl Display for ConfigError {
     fn fmt(&self, out: &mut Formatter<'_>) -> std::fmt::Result {
         match self.line {
             0 => write!(out, "{}: {}", self.file, self.reason),
@@ -23,11 +23,11 @@
     }
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorConfig {
     pub membership: Membership,
 }
 
@@ -36,30 +36,33 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
     /// Gateways probe one another and keep a view. Everything below needs it.
-    pub on: bool,
+    #[serde(rename = "on")]
+    pub enabled: bool,
     /// Counts are kept among the gateways while the counter cannot serve.
-    pub counts: bool,
+    #[serde(rename = "counts")]
+    pub peer_counting: bool,
     /// A quota judged alone is shared among those that have not failed.
-    pub shares: bool,
+    #[serde(rename = "shares")]
+    pub share_quotas: bool,
 }
 
-impl Operator {
-    pub fn read(path: &Path) -> Result<Self, Mistake> {
+impl OperatorConfig {
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text),
-            Err(error) => Err(Mistake { file, line: 0, reason: error.to_string() }),
+            Err(error) => Err(ConfigError { file, line: 0, reason: error.to_string() }),
         }
     }
 
     /// Reads a file's text; `file` is what errors call it.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Mistake> {
-        let mistake = |line, reason: String| Mistake { file: file.to_string(), line, reason };
+    pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
+        let mistake = |line, reason: String| ConfigError { file: file.to_string(), line, reason };
         let operator: Self = toml::from_str(text).map_err(|error| {
             let before = error.span().and_then(|span| text.get(..span.start));
             mistake(before.map_or(0, |text| 1 + text.matches('\n').count()), error.message().to_string())
         })?;
-        let Membership { on, counts, shares } = operator.membership;
+        let Membership { enabled: on, peer_counting: counts, share_quotas: shares } = operator.membership;
         if !on && (counts || shares) {
             let line = text.lines().position(|line| line.trim_start().starts_with("[membership]"));
             let reason = "membership.counts and membership.shares need membership.on";
--- a/crates/launch/src/operator/tests.rs
+++ b/crates/launch/src/operator/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn what_cannot_be_meant_is_refused_with_file_line_and_reason() {
     let whole = "[membership]\non = true\ncounts = true\nshares = false\n";
-    let membership = Membership { on: true, counts: true, shares: false };
-    assert_eq!(Operator::parse("a.toml", whole), Ok(Operator { membership }));
-    assert_eq!(Operator::parse("a.toml", ""), Ok(Operator::default()));
+    let membership = Membership { enabled: true, peer_counting: true, share_quotas: false };
+    assert_eq!(OperatorConfig::parse("a.toml", whole), Ok(OperatorConfig { membership }));
+    assert_eq!(OperatorConfig::parse("a.toml", ""), Ok(OperatorConfig::default()));
     for (text, line, reason) in [
         ("\n[membership]\non = true\ncount = true\n", 4, "unknown field `count`"),
         ("[members]\non = true\n", 1, "unknown field `members`"),
@@ -14,10 +14,10 @@
         ("# off\n[membership]\ncounts = true\n", 2, "need membership.on"),
         ("[membership\n", 1, "unclosed"),
     ] {
-        let mistake = Operator::parse("a.toml", text).unwrap_err();
+        let mistake = OperatorConfig::parse("a.toml", text).unwrap_err();
         assert!(mistake.line == line && mistake.reason.contains(reason), "{text}: {mistake}");
         assert!(mistake.to_string().starts_with(&format!("a.toml:{line}: ")));
     }
-    let mistake = Operator::read(Path::new("/no/such/operator.toml")).unwrap_err();
+    let mistake = OperatorConfig::read(Path::new("/no/such/operator.toml")).unwrap_err();
     assert!(mistake.to_string().starts_with("/no/such/operator.toml: "), "{mistake}");
 }
--- a/crates/launch/tests/settings.rs
+++ b/crates/launch/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings as the benches write them: dear prices and keys this gateway does not read, and figures it cannot read.
 
-use fennelgauge_launch::Launch;
+use fennelgauge_launch::LaunchSettings;
 
 /// A deployment of two plans, with `more` spliced into its `extra` table and at its top.
 fn settings(more_extra: &str, more_top: &str, price: &str) -> String {
@@ -19,7 +19,7 @@
     )
 }
 
-fn read(text: &str) -> Result<Launch, serde_json::Error> {
+fn read(text: &str) -> Result<LaunchSettings, serde_json::Error> {
     serde_json::from_str(text)
 }
 
@@ -35,10 +35,10 @@
     );
     let dear = read(&dear).expect("settings with dear prices");
     assert_eq!(format!("{:?}", plain.deployment), format!("{:?}", dear.deployment));
-    assert_eq!(plain.plans, dear.plans);
-    assert_eq!(dear.plans, ["paddock", "pit-lane"]);
-    assert_eq!(dear.count_within.micros(), 30_000);
-    assert_eq!(dear.deployment.gateways, 100);
+    assert_eq!(plain.plan_names, dear.plan_names);
+    assert_eq!(dear.plan_names, ["paddock", "pit-lane"]);
+    assert_eq!(dear.counter_timeout.micros(), 30_000);
+    assert_eq!(dear.deployment.gateway_count, 100);
 }
 
 /// A figure that the gateway reads but cannot parse is an error that says what was wanted and where, never a
@@ -59,5 +59,5 @@
     let launch = read(&settings("", "", "-3")).expect("a negative price");
     assert_eq!(launch.deployment.plans[0].price, 0.0);
     let empty = read("{}").expect("no keys at all");
-    assert_eq!((empty.deployment.gateways, empty.deployment.plans.len()), (1, 0));
+    assert_eq!((empty.deployment.gateway_count, empty.deployment.plans.len()), (1, 0));
 }
--- a/crates/membership/src/circle.rs
+++ b/crates/membership/src/circle.rs
@@ -8,7 +8,7 @@
 use crate::tally::{Keepers, Name, Outcome, Tally};
 use crate::view::{Change, Reach, State, View};
 use crate::Number;
-use fennelgauge::host::Wanted;
+use fennelgauge::host::ConditionalAdd;
 use fennelgauge::time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -140,7 +140,7 @@
     }
 
     /// Adds to a count among members; its total, or word that none will come, comes among [`Self::results`].
-    pub fn add(&mut self, now: Moment, name: Name, amount: f64, wanted: Wanted) {
+    pub fn add(&mut self, now: Moment, name: Name, amount: f64, wanted: ConditionalAdd) {
         let awake = self.members.awake(now);
         self.counts.take(awake);
         self.tally.add(awake, name, amount, wanted, &self.members);
--- a/crates/membership/src/tally.rs
+++ b/crates/membership/src/tally.rs
@@ -6,7 +6,7 @@
 
 use crate::frame::{Kind, Refused, ROOM};
 use crate::Number;
-use fennelgauge::host::Wanted;
+use fennelgauge::host::ConditionalAdd;
 use fennelgauge::time::{Moment, Span};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy)]
 struct Sum {
     firm: f64,
-    wanted: Wanted,
+    wanted: ConditionalAdd,
     until: Moment,
 }
 
@@ -161,12 +161,12 @@
     Ok((u32::from_be_bytes([l0, l1, l2, l3]), u16::from_be_bytes([s0, s1]), items))
 }
 
-fn read_sum(item: &[u8; SUM]) -> Result<(Name, f64, Wanted), Refused> {
+fn read_sum(item: &[u8; SUM]) -> Result<(Name, f64, ConditionalAdd), Refused> {
     let [n0, n1, n2, n3, n4, f0, f1, f2, f3, w0, w1, w2, w3, a0, a1, a2, a3, b0, b1, b2, b3] = *item;
-    let wanted = Wanted {
+    let wanted = ConditionalAdd {
         amount: figure(&[w0, w1, w2, w3])?,
-        most: figure(&[a0, a1, a2, a3])?,
-        most_marked: figure(&[b0, b1, b2, b3])?,
+        max_total: figure(&[a0, a1, a2, a3])?,
+        max_with_deficit: figure(&[b0, b1, b2, b3])?,
     };
     Ok((name(&[n0, n1, n2, n3, n4]) & NAME, figure(&[f0, f1, f2, f3])?, wanted))
 }
@@ -214,7 +214,14 @@
     }
 
     /// Adds to this member's own sum and asks for the total; it comes among [`Self::results`]. One ask by name.
-    pub fn add(&mut self, now: Moment, name: Name, amount: f64, wanted: Wanted, keepers: &impl Keepers) {
+    pub fn add(
+        &mut self,
+        now: Moment,
+        name: Name,
+        amount: f64,
+        wanted: ConditionalAdd,
+        keepers: &impl Keepers,
+    ) {
         let until = now + KEPT;
         let firm = self.sums.get(&name).map_or(0.0, |it| it.firm) + amount;
         self.sums.insert(name, Sum { firm, wanted, until });
@@ -244,7 +251,7 @@
             sum.firm += sum.wanted.amount;
         }
         if let Some(sum) = self.sums.get_mut(&name) {
-            sum.wanted = Wanted::default();
+            sum.wanted = ConditionalAdd::default();
         }
         self.results.push((name, outcome));
     }
@@ -257,7 +264,7 @@
         from: Number,
         (life, serial): (u32, u16),
         firm: f64,
-        wanted: Wanted,
+        wanted: ConditionalAdd,
     ) -> Outcome {
         if self.kept.len() >= MOST_NAMES && !self.kept.contains_key(&name) {
             return None;
@@ -269,7 +276,7 @@
         let others =
             kept.by.iter().enumerate().filter(|it| Some(it.0) != own).map(|it| it.1.sum).sum::<f64>();
         let before = others + firm;
-        let added = wanted.fits(before);
+        let added = wanted.permits(before);
         let sum = if added { firm + wanted.amount } else { firm };
         let told = Told { from, life, serial, sum };
         match own {
@@ -382,7 +389,8 @@
                 for name in part {
                     let Some(sum) = self.sums.get(name) else { continue };
                     put_name(&mut out, name & NAME);
-                    let Wanted { amount, most, most_marked } = sum.wanted;
+                    let ConditionalAdd { amount, max_total: most, max_with_deficit: most_marked } =
+                        sum.wanted;
                     [sum.firm, amount, most, most_marked].iter().for_each(|it| put_figure(&mut out, *it));
                 }
                 self.sends.push((keeper, Kind::Sums, out));
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Whole fleets on a simulated clock and a simulated network: kills, cuts, losses, stops, restarts and false datagrams,
 //! the same each time.
 
-use fennelgauge::host::Wanted;
+use fennelgauge::host::ConditionalAdd;
 use fennelgauge::time::{Moment, Span};
 use fennelgauge_membership::circle::{Circle, Terms};
 use fennelgauge_membership::frame::{Frame, Kind, Refused, MOST};
@@ -394,7 +394,7 @@
             let circle = fleet.circles[usize::from(number)].as_mut().unwrap();
             assert!(circle.may_count(now), "{round} {number}");
             // Half of it firm, half wanted where there is room.
-            let wanted = Wanted { amount: 0.5, most: 100.0, most_marked: 1e6 };
+            let wanted = ConditionalAdd { amount: 0.5, max_total: 100.0, max_with_deficit: 1e6 };
             circle.add(now, 1_000 + round, 0.5, wanted);
             fleet.run(0.02);
         }
--- a/crates/spread/examples/ways.rs
+++ b/crates/spread/examples/ways.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo run --release -p fennelgauge-spread --example ways
 
-use fennelgauge_spread::{cut, Member, Seat};
+use fennelgauge_spread::{assign_subset, Candidate, RingPosition};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -31,29 +31,30 @@
 }
 
 /// The text before: one order by hash for each gateway, of which the first ones with room are taken.
-fn hash_order(members: &[Member], own: u32, _: u32) -> Shares {
+fn hash_order(members: &[Candidate], own: u32, _: u32) -> Shares {
     let mut order: Vec<u32> = members.iter().map(|member| member.server).collect();
     order.sort_by_cached_key(|server| hashed(&[u64::from(own), u64::from(*server)]));
     evenly(order.into_iter().take(1))
 }
 
 /// As many drawn at random, used evenly.
-fn random_subset(members: &[Member], own: u32, _: u32) -> Shares {
+fn random_subset(members: &[Candidate], own: u32, _: u32) -> Shares {
     let mut order: Vec<u32> = members.iter().map(|member| member.server).collect();
     order.sort_by_cached_key(|server| hashed(&[7, u64::from(own), u64::from(*server)]));
     evenly(order.into_iter().take(SIZE))
 }
 
 /// Rendezvous hashing: the highest draws, weighted by rating.
-fn rendezvous(members: &[Member], own: u32, _: u32) -> Shares {
-    let score = |member: &Member| -draw(&[9, u64::from(own), u64::from(member.server)]).ln() / member.rating;
-    let mut order: Vec<&Member> = members.iter().collect();
+fn rendezvous(members: &[Candidate], own: u32, _: u32) -> Shares {
+    let score =
+        |member: &Candidate| -draw(&[9, u64::from(own), u64::from(member.server)]).ln() / member.rating;
+    let mut order: Vec<&Candidate> = members.iter().collect();
     order.sort_by(|a, b| score(a).total_cmp(&score(b)));
     evenly(order.into_iter().take(SIZE).map(|member| member.server))
 }
 
 /// Deterministic subsetting: in each round of gateways all servers, shuffled, are dealt out in subsets.
-fn rounds(members: &[Member], own: u32, _: u32) -> Shares {
+fn rounds(members: &[Candidate], own: u32, _: u32) -> Shares {
     let subsets = (members.len() / SIZE).max(1) as u32;
     let mut order: Vec<u32> = members.iter().map(|member| member.server).collect();
     order.sort_unstable();
@@ -62,11 +63,11 @@
     evenly(order.into_iter().skip(from).take(SIZE))
 }
 
-fn ring(members: &[Member], own: u32, of: u32) -> Shares {
-    cut(members, Seat::of_all(own, of), SIZE as f64).slice
+fn ring(members: &[Candidate], own: u32, of: u32) -> Shares {
+    assign_subset(members, RingPosition::among_all(own, of), SIZE as f64).shares
 }
 
-fn fleet(way: fn(&[Member], u32, u32) -> Shares, members: &[Member], of: u32) -> Vec<Shares> {
+fn fleet(way: fn(&[Candidate], u32, u32) -> Shares, members: &[Candidate], of: u32) -> Vec<Shares> {
     (0..of).map(|own| way(members, own, of)).collect()
 }
 
@@ -84,7 +85,7 @@
 }
 
 fn main() {
-    type Way = (&'static str, fn(&[Member], u32, u32) -> Shares);
+    type Way = (&'static str, fn(&[Candidate], u32, u32) -> Shares);
     let ways: [Way; 5] = [
         ("hash order, first choice", hash_order),
         ("random subsets", random_subset),
@@ -96,8 +97,8 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (of, servers) in [(10, 10), (100, 60), (300, 200), (1_000, 600)] {
         // Ratings 1 to 4, in three zones.
-        let members: Vec<Member> = (0..servers)
-            .map(|number: u32| Member {
+        let members: Vec<Candidate> = (0..servers)
+            .map(|number: u32| Candidate {
                 server: hashed(&[3, u64::from(number)]) as u32,
                 rating: 1.0 + f64::from(number % 4),
                 zone: (number % 3) as u16,
@@ -119,7 +120,8 @@
             let goes: Vec<f64> = (0..5)
                 .map(|number| {
                     let gone = members[number * members.len() / 5].server;
-                    let left: Vec<Member> = members.iter().copied().filter(|it| it.server != gone).collect();
+                    let left: Vec<Candidate> =
+                        members.iter().copied().filter(|it| it.server != gone).collect();
                     moved(&all, &fleet(way, &left, of), Some(gone))
                 })
                 .collect();
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -3,10 +3,10 @@
 //! every gateway. `docs/spread.md` weighs the ways there are, with figures.
 
 mod ring;
-mod slice;
+mod subset;
 
-pub use ring::{cut, Cut, Member, Seat};
-pub use slice::Slice;
+pub use ring::{assign_subset, Candidate, RingPosition, SubsetAssignment};
+pub use subset::Subset;
 
 /// How many servers of the mean rating a slice is to hold, from the relays a second that its gateway sends and the
 /// size `before` (0: none yet). Few jobs fall unevenly by chance, the less so the more gateways share each server: at
@@ -16,7 +16,7 @@
 ///
 /// There are three sizes, so that gateways of about one pace cover the ring in whole layers, and a size is kept until
 /// the pace is far from it: one that followed every move would open connections for nothing.
-pub fn size(pace: f64, before: f64) -> f64 {
+pub fn subset_size(pace: f64, before: f64) -> f64 {
     const AT_ONE_A_SECOND: f64 = 6.0;
     let wanted = if pace > 0.0 { (AT_ONE_A_SECOND / pace).clamp(2.0, 6.0) } else { 6.0 };
     if before > 0.0 && (0.6..=1.6).contains(&(wanted / before)) {
@@ -32,14 +32,14 @@
 /// Relays a second of late, counted over some twenty seconds. Until it has seen its own a gateway counts with several
 /// a second: a slice that begins small grows at the cost of a connection, one that begins large has opened them all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
+pub struct RelayRate {
     sent: f64,
     /// Seconds of the clock that is handed in.
     at: f64,
     began: f64,
 }
 
-impl Pace {
+impl RelayRate {
     const OVER_S: f64 = 20.0;
     /// So many relays in so many seconds are assumed at the start.
     const FIRST: f64 = 3.0;
@@ -49,7 +49,7 @@
         Self { sent: Self::FIRST, at: now_s, began: now_s }
     }
 
-    pub fn count(&mut self, now_s: f64) {
+    pub fn record(&mut self, now_s: f64) {
         self.sent = self.sent * Self::left(now_s - self.at) + 1.0;
         self.at = self.at.max(now_s);
     }
@@ -58,7 +58,7 @@
         (-passed.max(0.0) / Self::OVER_S).exp()
     }
 
-    pub fn per_s(&self, now_s: f64) -> f64 {
+    pub fn per_second(&self, now_s: f64) -> f64 {
         let over = Self::OVER_S - (Self::OVER_S - Self::FIRST_S) * Self::left(now_s - self.began);
         self.sent * Self::left(now_s - self.at) / over
     }
--- a/crates/spread/src/ring.rs
+++ b/crates/spread/src/ring.rs
@@ -9,7 +9,7 @@
 /// A server that may be given jobs. `rating` is comparable across servers; one that is no number or not above
 /// nothing counts as 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct Candidate {
     pub server: u32,
     pub rating: f64,
     pub zone: u16,
@@ -17,14 +17,14 @@
 
 /// A gateway's place on the ring, from 0, among `of` gateways that spread the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
-    pub place: u32,
-    pub of: u32,
+pub struct RingPosition {
+    pub index: u32,
+    pub count: u32,
 }
 
-impl Seat {
+impl RingPosition {
     /// Among all of a deployment's gateways, by number.
-    pub fn of_all(own: u32, gateways: u32) -> Self {
+    pub fn among_all(own: u32, gateways: u32) -> Self {
         Self::among(own, 0..gateways)
     }
 
@@ -40,23 +40,23 @@
             place += u32::from(mark(number) < mark(own));
             of += 1;
         }
-        Self { place, of }
+        Self { index: place, count: of }
     }
 
     /// Where its arc begins, as a part of the ring: all evenly apart.
     fn begins(self) -> f64 {
-        let of = self.of.max(1);
-        f64::from(self.place % of) / f64::from(of)
+        let of = self.count.max(1);
+        f64::from(self.index % of) / f64::from(of)
     }
 }
 
 /// What a gateway uses of the ring.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Cut {
+pub struct SubsetAssignment {
     /// The servers of its arc and the share of its jobs that each is to get; the shares sum to 1.
-    pub slice: Vec<(u32, f64)>,
+    pub shares: Vec<(u32, f64)>,
     /// All others, from the end of the arc on: where to go while the slice has nobody well, nearest first.
-    pub beyond: Vec<u32>,
+    pub fallback: Vec<u32>,
 }
 
 pub(crate) fn hashed(parts: &[u64]) -> u64 {
@@ -70,7 +70,7 @@
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn rated(member: &Member) -> f64 {
+fn rated(member: &Candidate) -> f64 {
     if member.rating > 0.0 && member.rating.is_finite() {
         member.rating
     } else {
@@ -80,8 +80,8 @@
 
 /// The order of the ring: by hash within a zone, the zones dealt through one another, so that every arc has its part
 /// of every zone and the loss of one leaves no arc empty.
-fn order(members: &[Member]) -> Vec<Member> {
-    let mut zones: BTreeMap<u16, Vec<Member>> = BTreeMap::new();
+fn order(members: &[Candidate]) -> Vec<Candidate> {
+    let mut zones: BTreeMap<u16, Vec<Candidate>> = BTreeMap::new();
     for member in members {
         zones.entry(member.zone).or_default().push(*member);
     }
@@ -104,13 +104,13 @@
 }
 
 /// Cuts a gateway's slice of the roster: `least` servers of the mean rating or a little more, as far as there are.
-pub fn cut(members: &[Member], seat: Seat, least: f64) -> Cut {
+pub fn assign_subset(members: &[Candidate], seat: RingPosition, least: f64) -> SubsetAssignment {
     let ring = order(members);
     if ring.is_empty() {
-        return Cut::default();
+        return SubsetAssignment::default();
     }
     let whole: f64 = ring.iter().map(rated).sum();
-    let (many, of) = (ring.len() as f64, f64::from(seat.of.max(1)));
+    let (many, of) = (ring.len() as f64, f64::from(seat.count.max(1)));
     // A whole number of arcs over every point of the ring: else some would be covered once more than others.
     // `max` also takes what is no number for one.
     let layers = (least / many * of).ceil().max(1.0).min(of);
@@ -135,7 +135,7 @@
             beyond.push(ring[index].server);
         }
     }
-    Cut { slice, beyond }
+    SubsetAssignment { shares: slice, fallback: beyond }
 }
 
 /// How much of a server lies in an arc that may go over the ring's end.
--- a/crates/spread/tests/cover.rs
+++ b/crates/spread/tests/cover.rs
@@ -1,27 +1,27 @@
 //! What holds for any roster: all servers are covered by their rating, little moves when one goes, and no input
 //! breaks it.
 
-use fennelgauge_spread::{cut, Member, Seat, Slice};
+use fennelgauge_spread::{assign_subset, Candidate, RingPosition, Subset};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn members(of: impl Strategy<Value = f64>) -> impl Strategy<Value = Vec<Member>> {
+fn members(of: impl Strategy<Value = f64>) -> impl Strategy<Value = Vec<Candidate>> {
     let member = (of, 0..4_u16);
     prop::collection::vec(member, 1..60).prop_map(|all| {
         // Numbers as hashes of names are: anywhere.
         let number = |at: usize| (at as u32 + 1).wrapping_mul(0x9e37_79b1);
         all.into_iter()
             .enumerate()
-            .map(|(at, (rating, zone))| Member { server: number(at), rating, zone })
+            .map(|(at, (rating, zone))| Candidate { server: number(at), rating, zone })
             .collect()
     })
 }
 
 /// What each server gets of the fleet's jobs, each gateway having as many.
-fn loads(members: &[Member], of: u32, least: f64) -> BTreeMap<u32, f64> {
+fn loads(members: &[Candidate], of: u32, least: f64) -> BTreeMap<u32, f64> {
     let mut loads = BTreeMap::new();
     for rank in 0..of {
-        for (server, share) in cut(members, Seat::of_all(rank, of), least).slice {
+        for (server, share) in assign_subset(members, RingPosition::among_all(rank, of), least).shares {
             *loads.entry(server).or_default() += share / f64::from(of);
         }
     }
@@ -48,11 +48,11 @@
     ) {
         let mut twice = members.clone();
         twice.extend_from_slice(&members[..members.len() / 2]);
-        let cut = cut(&twice, Seat { place: rank, of }, least);
-        let all: Vec<u32> = cut.slice.iter().map(|part| part.0).chain(cut.beyond.iter().copied()).collect();
+        let cut = assign_subset(&twice, RingPosition { index: rank, count: of }, least);
+        let all: Vec<u32> = cut.shares.iter().map(|part| part.0).chain(cut.fallback.iter().copied()).collect();
         prop_assert_eq!(all.len(), members.len());
         prop_assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), members.len());
-        prop_assert!((cut.slice.iter().map(|part| part.1).sum::<f64>() - 1.0).abs() < 1e-6);
+        prop_assert!((cut.shares.iter().map(|part| part.1).sum::<f64>() - 1.0).abs() < 1e-6);
     }
 
     /// When one server or one gateway goes, the fleet's jobs stay where they were, but for a fifth at most: nobody's
@@ -62,20 +62,20 @@
         ratings in prop::collection::vec(1.0..2.0_f64, 24..60), of in 60..120_u32,
         gone in any::<prop::sample::Index>(),
     ) {
-        let member = |(at, rating): (usize, &f64)| Member {
+        let member = |(at, rating): (usize, &f64)| Candidate {
             server: (at as u32 + 1).wrapping_mul(0x9e37_79b1),
             rating: *rating,
             zone: (at % 3) as u16,
         };
-        let members: Vec<Member> = ratings.iter().enumerate().map(member).collect();
+        let members: Vec<Candidate> = ratings.iter().enumerate().map(member).collect();
         let gone = gone.index(members.len());
-        let left: Vec<Member> =
+        let left: Vec<Candidate> =
             members.iter().enumerate().filter(|(at, _)| *at != gone).map(|it| *it.1).collect();
         let (mut by_server, mut by_gateway) = (0.0, 0.0);
         let without = gone as u32 % of;
         for own in (0..of).filter(|own| *own != without) {
-            let shares = |members: &[Member], seat| -> BTreeMap<u32, f64> {
-                cut(members, seat, 6.0).slice.into_iter().collect()
+            let shares = |members: &[Candidate], seat| -> BTreeMap<u32, f64> {
+                assign_subset(members, seat, 6.0).shares.into_iter().collect()
             };
             let moved = |before: &BTreeMap<u32, f64>, after: &BTreeMap<u32, f64>| {
                 let lost = |(server, share): (&u32, &f64)| {
@@ -83,9 +83,9 @@
                 };
                 before.iter().filter(|it| *it.0 != members[gone].server).map(lost).sum::<f64>() / f64::from(of)
             };
-            let before = shares(&members, Seat::of_all(own, of));
-            by_server += moved(&before, &shares(&left, Seat::of_all(own, of)));
-            let seat = Seat::among(own, (0..of).filter(|number| *number != without));
+            let before = shares(&members, RingPosition::among_all(own, of));
+            by_server += moved(&before, &shares(&left, RingPosition::among_all(own, of)));
+            let seat = RingPosition::among(own, (0..of).filter(|number| *number != without));
             by_gateway += moved(&before, &shares(&members, seat));
         }
         prop_assert!(by_server < 0.2 && by_gateway < 0.2, "{by_server} {by_gateway}");
@@ -96,22 +96,22 @@
     fn nobody_catches_up_by_more_than_a_turn(
         refused in prop::collection::vec(0..64_u8, 50..200), of in 1..20_u32,
     ) {
-        let members: Vec<Member> =
-            (0..12).map(|server| Member { server, rating: 1.0, zone: 0 }).collect();
-        let mut slice = Slice::default();
-        slice.set(&members, Seat::of_all(0, of), 6.0);
-        let many = slice.in_turn().count();
+        let members: Vec<Candidate> =
+            (0..12).map(|server| Candidate { server, rating: 1.0, zone: 0 }).collect();
+        let mut slice = Subset::default();
+        slice.update(&members, RingPosition::among_all(0, of), 6.0);
+        let many = slice.in_turn_order().count();
         let mut given: Vec<u32> = Vec::new();
         for mask in refused {
-            let Some(server) = slice.in_turn().find(|server| mask >> (server % 6) & 1 == 0) else { continue };
-            slice.took(server);
+            let Some(server) = slice.in_turn_order().find(|server| mask >> (server % 6) & 1 == 0) else { continue };
+            slice.record_relay(server);
             given.push(server);
         }
         // Then all have room again.
         let before = given.len();
         for _ in 0..many * 2 {
-            let server = slice.in_turn().next().unwrap();
-            slice.took(server);
+            let server = slice.in_turn_order().next().unwrap();
+            slice.record_relay(server);
             given.push(server);
         }
         for server in 0..12 {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,13 +1,12 @@
-//! Every decision of a gateway. Build one with [`Gateway::start`], then call the method named for each thing
-//! as it happens, with the present moment; it acts through the [`Host`] it was given. The interface is in
-//! `host.rs`, the records in `state.rs`; `docs/design.md` tells what follows the design and what departs.
+//! The decisions of a gateway: create one with [`Gateway::start`] and report each event to it with the current
+//! time; it acts through its [`Host`]. The interface is in `host.rs`, the state it keeps in `state.rs`.
 
 use crate::chance::{hashed, Chance};
-use crate::host::{Arrival, CountName, CustomerId, Deployment, Entry, Host, JobId, Outcome};
-use crate::host::{Health, Plan, RelayEnd, ServerId, Wanted, JOB_IDS};
+use crate::host::{Arrival, CounterKey, CustomerId, Deployment, Host, JobId, Outcome, RosterEntry};
+use crate::host::{ConditionalAdd, Health, Plan, RelayEnd, ServerId, JOB_ID_LIMIT};
 use crate::state::{self, Ask, Counter, Customer, Fleet, Job, Level, Pool, Server, Stage, Step};
 use crate::time::{Moment, Span};
-use fennelgauge_spread::{Member, Pace, Seat};
+use fennelgauge_spread::{Candidate, RelayRate, RingPosition};
 use std::collections::BTreeMap;
 
 /// The lent room of all customers is pooled by this span; the design's window of about a second.
@@ -19,7 +18,7 @@
 /// For so long after a call had to wait the gateways count among themselves, where they can.
 const SPARED: Span = Span::from_millis(2_000);
 /// Marks of timers: a job's is its id, which is below this; a customer's is its id above this.
-const CUSTOMER_MARK: u64 = JOB_IDS;
+const CUSTOMER_MARK: u64 = JOB_ID_LIMIT;
 const CALLS_MARK: u64 = u64::MAX;
 const BACKLOG_MARK: u64 = u64::MAX - 1;
 /// Relays at a server, and calls, that all gateways begin with in all: what a small machine works on at once.
@@ -47,7 +46,7 @@
     customers: BTreeMap<CustomerId, Customer>,
     jobs: BTreeMap<JobId, Job>,
     /// Who awaits a total by a name.
-    callers: BTreeMap<CountName, CustomerId>,
+    callers: BTreeMap<CounterKey, CustomerId>,
     counter: Counter,
     pool: Pool,
 }
@@ -57,7 +56,7 @@
     /// A plan by relays out has no windows; its counts begin anew so that what a dead gateway held is let go.
     fn window(&self) -> Span {
         const ANEW: f64 = 10.0;
-        let length = if self.by_rate() { self.burst / self.rate / 2.0 } else { ANEW };
+        let length = if self.is_rate_limited() { self.burst / self.rate / 2.0 } else { ANEW };
         Span::from_secs(length).clamp(POOL_WINDOW, COUNTS_KEPT.times(1.0 / 3.0))
     }
 
@@ -67,10 +66,10 @@
 
     /// Units a second and at once. Relays out make room as answers come, so a cap on them is a pace as well.
     fn pace(&self, usual: f64) -> (f64, f64) {
-        if self.by_rate() {
+        if self.is_rate_limited() {
             (self.rate, self.burst)
         } else {
-            (self.relays_out / usual.max(0.001), self.relays_out)
+            (self.max_concurrent_relays / usual.max(0.001), self.max_concurrent_relays)
         }
     }
 
@@ -100,14 +99,14 @@
 
 impl<H: Host> Gateway<H> {
     pub fn start(now: Moment, mut host: H, deployment: Deployment, seed: u64) -> Self {
-        if deployment.roster_is_asked {
-            host.follow_roster();
+        if deployment.subscribe_to_roster {
+            host.subscribe_to_roster();
         }
-        // Until one is seen, a part of the tightest target stands in for an answer, some ticks for a call.
-        let target = deployment.bands.iter().map(|band| band.target.secs()).fold(10.0, f64::min);
+        // Initial estimates: a fraction of the tightest target for answers, a few ticks for counter calls.
+        let target = deployment.classes.iter().map(|band| band.latency_target.secs()).fold(10.0, f64::min);
         let usual = (deployment.tick.secs() * 4.0).max(0.005);
-        let bound = FEW / f64::from(deployment.gateways);
-        let pace = Pace::new(now.secs());
+        let bound = FEW / f64::from(deployment.gateway_count);
+        let pace = RelayRate::new(now.secs());
         let mut fleet = Fleet { bound: bound / 2.0, spare: 5.0, pace, ..Fleet::default() };
         (fleet.usual, fleet.units, fleet.calm, fleet.slow) = (target / 6.0, 1.0, 0.12, 0.12);
         Self {
@@ -126,13 +125,13 @@
         }
     }
 
-    pub fn roster_changed(&mut self, now: Moment, entries: impl Iterator<Item = Entry>) {
+    pub fn roster_changed(&mut self, now: Moment, entries: impl Iterator<Item = RosterEntry>) {
         self.now = now;
         // Where all are replaced at once none is warm, and the cold ones would get nothing: what the last
         // warm ones carried stays known.
         self.fleet.carried = self.carried().unwrap_or(self.fleet.carried);
         for mut entry in entries {
-            let (usual, bound) = (self.fleet.usual, FEW / f64::from(self.deployment.gateways));
+            let (usual, bound) = (self.fleet.usual, FEW / f64::from(self.deployment.gateway_count));
             // Rule 4: all gateways would send a cold server their first job at once: chance sets them apart.
             let push = Level { amount: self.fleet.units * self.chance.draw(), at: now };
             let server = self.servers.entry(entry.server).or_insert_with(|| Server {
@@ -162,7 +161,7 @@
     }
 
     /// The whole roster; a server that it lacks is gone.
-    pub fn roster_listed(&mut self, now: Moment, entries: impl Iterator<Item = Entry>) {
+    pub fn roster_replaced(&mut self, now: Moment, entries: impl Iterator<Item = RosterEntry>) {
         self.fleet.carried = self.carried().unwrap_or(self.fleet.carried);
         self.servers.values_mut().for_each(|server| server.entry.health = Health::Gone);
         self.roster_changed(now, entries);
@@ -170,25 +169,25 @@
 
     pub fn job_arrived(&mut self, now: Moment, arrival: Arrival) {
         self.now = now;
-        let (id, set_size) = (arrival.job, f64::from(arrival.set_size.max(1)));
-        let (bands, plans) = (&self.deployment.bands, &self.deployment.plans);
-        let (Some(band), Some(plan)) = (bands.get(arrival.band), plans.get(arrival.plan)) else {
-            return self.host.forfeit(id);
+        let (id, set_size) = (arrival.job, f64::from(arrival.gateway_set_size.max(1)));
+        let (bands, plans) = (&self.deployment.classes, &self.deployment.plans);
+        let (Some(band), Some(plan)) = (bands.get(arrival.class), plans.get(arrival.plan)) else {
+            return self.host.fail(id);
         };
-        let (target, limited, cost) = (now + band.target, plan.limited(), plan.cost(&arrival));
+        let (target, limited, cost) = (now + band.latency_target, plan.has_quota(), plan.cost(&arrival));
         // Rule 5: an equal share of the ceiling is safe whatever others do; a little less for rounding. After
         // a restart it may be spent already, so it fills from then on.
         let share = 0.999 / set_size;
         let ceiling = plan.ceiling.map(|it| (it.rate * share, (it.burst + it.slack) * share));
         let spent = Level { amount: ceiling.map_or(0.0, |it| it.1), at: self.started };
-        // Ids without number, from any cause, would fill the memory of a gateway that lives long.
+        // An unbounded number of customer ids would exhaust the memory of a long-running gateway.
         state::let_go(&mut self.customers, arrival.customer, now, COUNTS_KEPT);
         let fresh = || Customer { spent, ..Customer::default() };
         let customer = self.customers.entry(arrival.customer).or_insert_with(fresh);
         // Customers change their plans, and are served by other gateways: the latest job tells.
         (customer.plan, customer.ceiling) = (arrival.plan, ceiling);
-        (customer.set_first, customer.set_size) = (arrival.set_first, set_size);
-        customer.until = customer.until.max(arrival.abandon);
+        (customer.set_first, customer.set_size) = (arrival.first_gateway, set_size);
+        customer.until = customer.until.max(arrival.abandon_at);
         customer.waiting.extend(limited.then_some(id));
         let stage = if limited { Stage::Held } else { Stage::Cleared };
         let job = Job { arrival, cost, stage, target, relays: 0, server: 0, may_have_run: None };
@@ -197,7 +196,7 @@
         if latest <= now {
             return self.give_up(id, None);
         }
-        self.host.wake(latest.since(now), id);
+        self.host.set_timer(latest.since(now), id);
         if limited {
             self.ask(arrival.customer);
         } else {
@@ -209,9 +208,9 @@
     fn latest(&self, job: &Job) -> Moment {
         // Answers take longer than usual as often as not: three times as long leaves nearly all in time.
         const SLACK: f64 = 3.0;
-        let by = job.target.min(job.arrival.abandon - self.deployment.tick - self.deployment.tick);
+        let by = job.target.min(job.arrival.abandon_at - self.deployment.tick - self.deployment.tick);
         // At most half the target time: else answers slow for any cause would end all relays, and all news.
-        let most = self.deployment.bands[job.arrival.band].target.times(0.5);
+        let most = self.deployment.classes[job.arrival.class].latency_target.times(0.5);
         by - Span::from_secs(self.fleet.usual * SLACK).min(most)
     }
 
@@ -224,7 +223,7 @@
     fn turn(&self, customer: &Customer, total: f64) -> Moment {
         let plan = &self.deployment.plans[customer.plan];
         let (rate, burst) = plan.pace(self.fleet.usual);
-        if !plan.by_rate() {
+        if !plan.is_rate_limited() {
             return self.now + Span::from_secs((total - burst) / rate);
         }
         let at_first = if total >= plan.mark() { plan.mark() + burst } else { burst / 2.0 };
@@ -246,11 +245,10 @@
         let heard = if follows { customer.total } else { 0.0 };
         customer.unused = (plan.in_window() - heard).max(0.0);
         // What was judged alone and not told goes to the next window's count; relays out outlast windows.
-        if plan.by_rate() {
+        if plan.is_rate_limited() {
             let told = customer.told.max(customer.told_among);
             let told = told + customer.ask.as_ref().map_or(0.0, |ask| ask.amount);
-            // What was owed before comes in meanwhile: carried on whole, it would turn all jobs away for good,
-            // as a count is told of it only along with jobs.
+            // Older debt shrinks by a window's refill: carried whole it would reject all jobs forever (no job, no call).
             let untold = if follows { (customer.used - told).max(0.0) } else { 0.0 };
             let before = customer.owed.min(untold);
             customer.used = untold - before.min(plan.in_window());
@@ -267,7 +265,7 @@
         if !self.deployment.has_counter {
             self.judge_alone(id, false);
             if self.customers.get(&id).is_some_and(|customer| !customer.waiting.is_empty()) {
-                self.host.wake(Span::from_secs(self.fleet.usual), CUSTOMER_MARK + id);
+                self.host.set_timer(Span::from_secs(self.fleet.usual), CUSTOMER_MARK + id);
             }
             return;
         }
@@ -278,7 +276,8 @@
         let spared = self.now < self.counter.spared;
         let Some(customer) = self.customers.get_mut(&id).filter(|known| known.ask.is_none()) else { return };
         // A soft plan's jobs all go without a count; an ask for them would only cost.
-        let among = spared && !self.deployment.plans[customer.plan].soft() && self.host.counts_among();
+        let among =
+            spared && !self.deployment.plans[customer.plan].free_overage() && self.host.peers_can_count();
         let (window, untold) = (customer.window, customer.used - *customer.told(among));
         let Some(customer) = self.customers.get(&id) else { return };
         let most = self.deployment.plans[customer.plan].pace(self.fleet.usual).1;
@@ -309,7 +308,7 @@
         }
         if !std::mem::replace(&mut customer.queued, true) {
             self.counter.queue.insert((benefit.unwrap_or(0), self.now, id));
-            self.host.wake(self.counter.rested.since(self.now), CALLS_MARK);
+            self.host.set_timer(self.counter.rested.since(self.now), CALLS_MARK);
         }
         self.judge_alone(id, true);
     }
@@ -324,17 +323,17 @@
         self.callers.insert(name, id);
         if let Some(asked) = among {
             let wanted = self.wanted(id, asked).unwrap_or_default();
-            return self.host.add_among(name, amount - asked, wanted);
+            return self.host.add_to_peer_count(name, amount - asked, wanted);
         }
         let counter = &mut self.counter;
         counter.out += 1.0;
         // With many gateways one call at a time of each is too many: it rests between calls.
         counter.rested = self.now.max(counter.rested) + rest(Span::from_secs(counter.usual), counter.bound);
-        self.host.add(name, amount, COUNTS_KEPT);
+        self.host.add_to_counter(name, amount, COUNTS_KEPT);
     }
 
     /// A total came back, or word that none will.
-    pub fn counted(&mut self, now: Moment, name: CountName, total: Option<f64>, outcome: Outcome) {
+    pub fn counter_replied(&mut self, now: Moment, name: CounterKey, total: Option<f64>, outcome: Outcome) {
         self.now = now;
         if self.pool.draw.as_ref().is_some_and(|draw| draw.0 == name) {
             return self.drawn(total);
@@ -356,21 +355,21 @@
         self.serve_callers();
     }
 
-    /// What an ask among the gateways wants: nothing where the total stands above what is free by now. Just one ask
-    /// takes a count past half of the burst, and that one is always added.
-    fn wanted(&self, id: CustomerId, amount: f64) -> Option<Wanted> {
+    /// The conditional part of a peer add: within what is free by now. One add passes half of the burst: that one goes.
+    fn wanted(&self, id: CustomerId, amount: f64) -> Option<ConditionalAdd> {
         let customer = self.customers.get(&id).filter(|_| amount > 0.0)?;
         let plan = &self.deployment.plans[customer.plan];
         let came = plan.rate * self.now.since(customer.began).secs();
-        if !plan.by_rate() {
-            return Some(Wanted { amount, most: plan.relays_out - 1.0, most_marked: plan.relays_out - 1.0 });
+        if !plan.is_rate_limited() {
+            let max_total = plan.max_concurrent_relays - 1.0;
+            return Some(ConditionalAdd { amount, max_total, max_with_deficit: max_total });
         }
-        Some(Wanted { amount, most: plan.burst / 2.0 + came, most_marked: plan.mark() + plan.burst + came })
+        let (max_total, max_with_deficit) = (plan.burst / 2.0 + came, plan.mark() + plan.burst + came);
+        Some(ConditionalAdd { amount, max_total, max_with_deficit })
     }
 
-    /// The gateways' own total of a count came, and whether what was wanted was added; or word that none will. It
-    /// says nothing of the counter.
-    pub fn counted_among(&mut self, now: Moment, name: CountName, outcome: Option<(f64, bool)>) {
+    /// Handles a peer count's reply (total, and whether the conditional part was added), or `None` if none will come.
+    pub fn peer_count_replied(&mut self, now: Moment, name: CounterKey, outcome: Option<(f64, bool)>) {
         self.now = now;
         let Some(id) = self.callers.remove(&name) else { return };
         if let (Some((_, false)), Some(customer)) = (outcome, self.customers.get_mut(&id)) {
@@ -390,7 +389,7 @@
             self.ask(next);
         }
         if !self.counter.queue.is_empty() && self.counter.out < self.counter.bound.max(1.0) {
-            self.host.wake(self.counter.rested.since(self.now), CALLS_MARK);
+            self.host.set_timer(self.counter.rested.since(self.now), CALLS_MARK);
         }
     }
 
@@ -412,7 +411,7 @@
             }
             (Step::Count, Some(total)) => {
                 *customer.told(among) += ask.amount;
-                let (before, by_rate) = (total - ask.amount, plan.by_rate());
+                let (before, by_rate) = (total - ask.amount, plan.is_rate_limited());
                 // A pause of this gateway looks like a slow call: four times as long as usual tells enough.
                 let took = self.now.since(ask.sent).secs().min(self.counter.usual * 4.0);
                 self.counter.usual += if among { 0.0 } else { 0.05 * (took - self.counter.usual) };
@@ -468,7 +467,7 @@
             customer.apart =
                 (customer.apart * 2.0).clamp(even, even * customer.set_size).min(plan.window().secs());
             customer.shut = self.now + Span::from_secs(customer.apart * (0.5 + self.chance.draw()));
-            self.host.wake(customer.shut.since(self.now), CUSTOMER_MARK + id);
+            self.host.set_timer(customer.shut.since(self.now), CUSTOMER_MARK + id);
         } else if !ready.is_empty() {
             customer.apart /= 2.0;
         }
@@ -484,7 +483,7 @@
         for (id, turn) in vain {
             // A place that another's end made free may have gone to it meanwhile.
             let Some(job) = self.jobs.get_mut(&id).filter(|job| job.ungranted()) else { continue };
-            if open && self.deployment.plans[job.arrival.plan].soft() {
+            if open && self.deployment.plans[job.arrival.plan].free_overage() {
                 job.stage = Stage::Drawing;
                 units += job.cost;
                 jobs.push(id);
@@ -495,11 +494,11 @@
         if units > 0.0 {
             let name = self.pool_name(0);
             self.pool.draw = Some((name, units, jobs));
-            self.host.add(name, -units, POOL_KEPT);
+            self.host.add_to_counter(name, -units, POOL_KEPT);
         }
     }
 
-    fn pool_name(&self, ahead: u64) -> CountName {
+    fn pool_name(&self, ahead: u64) -> CounterKey {
         hashed(&[self.now.micros() / POOL_WINDOW.micros() + ahead, 1])
     }
 
@@ -521,30 +520,29 @@
     /// pool window, each as seldom as it takes: else these calls alone would crowd a counter of many.
     fn lend(&mut self, shortfall: f64) {
         // Lent room must not reach a pressed back end.
-        if self.now < self.fleet.pressed_until || !self.deployment.plans.iter().any(Plan::soft) {
+        if self.now < self.fleet.pressed_until || !self.deployment.plans.iter().any(Plan::free_overage) {
             return;
         }
         self.pool.lent += shortfall / 2.0;
         if self.now >= self.pool.lends_at && self.pool.lent > 0.0 {
-            let apart = (f64::from(self.deployment.gateways) / 16.0).max(1.0);
+            let apart = (f64::from(self.deployment.gateway_count) / 16.0).max(1.0);
             self.pool.lends_at = self.now + POOL_WINDOW.times(apart);
-            self.host.add(self.pool_name(1), std::mem::take(&mut self.pool.lent), POOL_KEPT);
+            self.host.add_to_counter(self.pool_name(1), std::mem::take(&mut self.pool.lent), POOL_KEPT);
         }
     }
 
-    /// Judges held jobs without a total, by this gateway's part of the pace. Where that is far below a job,
-    /// one job goes as soon as those before are made up for, unless servers lack room for what is counted.
-    /// Where a counter counts them later, a soft plan's jobs all go: their use beyond the quota costs
-    /// nothing, and their ceiling is held by this gateway's share as they are sent. While the customer's
-    /// call waits its turn (`rationed`), a job larger than the part goes alone only where its use beyond the
-    /// quota costs less than it earns within: its odds of room are even at best, and of those that wait most
-    /// are of customers past their quota.
+    /// Grants held jobs without a total from the counter, within this gateway's part of the quota. Where that part
+    /// is far below one job, one goes as soon as those before it are paid off, unless servers lack capacity.
+    /// With a counter, which is told of them later, all jobs of a plan with free overage go: overage costs nothing
+    /// and this gateway's share of the ceiling bounds them. While the call is queued (`rationed`), a job larger than
+    /// the part goes only if its overage costs less than the price: it fits at even odds, mostly for over-quota users.
     fn judge_alone(&mut self, id: CustomerId, rationed: bool) {
         let sharers = self.sharers(id);
         let Some(customer) = self.customers.get(&id) else { return };
         let plan = &self.deployment.plans[customer.plan];
-        let ((rate, burst), free) = (plan.pace(self.fleet.usual), plan.soft() && self.deployment.has_counter);
-        let costly = rationed && plan.over_cost >= plan.price;
+        let ((rate, burst), free) =
+            (plan.pace(self.fleet.usual), plan.free_overage() && self.deployment.has_counter);
+        let costly = rationed && plan.overage_cost >= plan.price;
         let pressed = self.now < self.fleet.pressed_until;
         let (mut ahead, mut jobs) = (customer.ahead.drained(rate / sharers, self.now), Vec::new());
         for job in customer.waiting.iter().filter_map(|job| self.held(*job)) {
@@ -560,7 +558,7 @@
     /// Among how many gateways the customer's quota is shared where each judges alone.
     fn sharers(&mut self, id: CustomerId) -> f64 {
         let set = self.customers.get(&id).map(|customer| (customer.set_first, customer.set_size));
-        set.map_or(1.0, |(first, size)| self.host.sharers(first, size).clamp(1.0, size))
+        set.map_or(1.0, |(first, size)| self.host.quota_sharers(first, size).clamp(1.0, size))
     }
 
     /// Lets jobs go whose units have room; what they take is ahead of this gateway's part.
@@ -597,16 +595,16 @@
                 if self.now + wait > latest {
                     return self.give_up(id, Some(wait));
                 }
-                return self.host.wake(wait, id);
+                return self.host.set_timer(wait, id);
             }
         }
         let Some(server) = self.choose(id) else {
             self.fleet.pressed_until = self.now + POOL_WINDOW;
             self.fleet.backlog.insert(place);
             if !std::mem::replace(&mut self.fleet.stirs, true) {
-                self.host.wake(Span::from_secs(self.fleet.usual / 4.0), BACKLOG_MARK);
+                self.host.set_timer(Span::from_secs(self.fleet.usual / 4.0), BACKLOG_MARK);
             }
-            return self.host.wake(latest.since(self.now), id);
+            return self.host.set_timer(latest.since(self.now), id);
         };
         if let (true, Some(customer)) = (first, self.customers.get_mut(&arrival.customer)) {
             customer.spent.amount += arrival.units;
@@ -616,21 +614,21 @@
         let Some(to) = self.servers.get_mut(&server) else { return };
         to.heard = if to.out > 0.0 { to.heard } else { self.now };
         (to.out, to.tried, self.fleet.out) = (to.out + 1.0, self.now, self.fleet.out + 1.0);
-        self.fleet.pace.count(self.now.secs());
+        self.fleet.pace.record(self.now.secs());
         to.push = Level { amount: pushed + arrival.units, at: self.now };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         (job.stage, job.server, job.relays) = (Stage::Out(self.now), server, job.relays + 1);
         self.host.relay(id, server, patience);
         let hangs = self.jobs.get(&id).map_or(self.now, |job| self.hangs(job, self.now));
-        if hangs < arrival.abandon {
-            self.host.wake(hangs.since(self.now) + tick, id);
+        if hangs < arrival.abandon_at {
+            self.host.set_timer(hangs.since(self.now) + tick, id);
         }
     }
 
     /// The first server in a fixed ranking that has not enough. Each customer has its own, at each gateway another:
     /// else a heavy customer would lead all gateways to one server, and none would see it.
     fn choose(&mut self, id: JobId) -> Option<ServerId> {
-        if f64::from(self.deployment.gateways) > FEW {
+        if f64::from(self.deployment.gateway_count) > FEW {
             return self.choose_among_many(id);
         }
         let (by, own) = (self.jobs.get(&id)?.arrival.customer, u64::from(self.deployment.own_index));
@@ -643,37 +641,35 @@
         ranking.order.iter().copied().find(|server| self.has_room(*server, job))
     }
 
-    /// Many gateways hear little of each server and each might send it one: all relays are bounded, and each
-    /// gateway keeps to its slice, whose servers come round in turn, so that the fleet loads all alike. Of the two
-    /// whose turn it is, the one with fewer relays out: a server slow for any cause is passed over. A slice with
-    /// nobody well widens to its neighbours, and narrows again.
+    /// Chooses among this gateway's subset, in turn so that the fleet loads all alike: with many gateways, each sees
+    /// few answers of a server and all might send it one at once, so all relays are bounded. Of the next two it takes
+    /// the one with fewer outstanding (passes over slow servers); a subset with no usable server uses the fallback.
     fn choose_among_many(&mut self, id: JobId) -> Option<ServerId> {
         let full = self.fleet.out >= (self.fleet.bound * self.fleet.ready).max(1.0);
         if full || (self.now < self.fleet.rested && self.fleet.slow > 1.25 * self.fleet.calm) {
             return None;
         }
         let (roster, before) = self.fleet.sliced;
-        let size = fennelgauge_spread::size(self.fleet.pace.per_s(self.now.secs()), before);
+        let size = fennelgauge_spread::subset_size(self.fleet.pace.per_second(self.now.secs()), before);
         if (roster, before) != (self.fleet.roster, size) {
             let entries = self.servers.values().filter(|to| to.ready()).map(|to| to.entry);
-            let member = |it: Entry| Member { server: it.server, rating: it.rating, zone: it.zone };
-            let seat = Seat::of_all(self.deployment.own_index, self.deployment.gateways);
-            self.fleet.slice.set(&entries.map(member).collect::<Vec<_>>(), seat, size);
+            let member = |it: RosterEntry| Candidate { server: it.server, rating: it.rating, zone: it.zone };
+            let seat = RingPosition::among_all(self.deployment.own_index, self.deployment.gateway_count);
+            self.fleet.subset.update(&entries.map(member).collect::<Vec<_>>(), seat, size);
             self.fleet.sliced = (self.fleet.roster, size);
         }
         let job = self.jobs.get(&id)?;
         let room = |server: &ServerId| self.has_room(*server, job);
         let out = |server: ServerId| self.servers.get(&server).map_or(0.0, |to| to.out);
-        let within: Vec<ServerId> = self.fleet.slice.in_turn().filter(room).take(2).collect();
+        let within: Vec<ServerId> = self.fleet.subset.in_turn_order().filter(room).take(2).collect();
         let chosen = within.iter().copied().min_by(|a, b| out(*a).total_cmp(&out(*b)));
-        let chosen = chosen.or_else(|| self.fleet.slice.beyond().find(room))?;
-        self.fleet.slice.took(chosen);
+        let chosen = chosen.or_else(|| self.fleet.subset.fallback().find(room))?;
+        self.fleet.subset.record_relay(chosen);
         Some(chosen)
     }
 
-    /// A relay's connection has come up, perhaps long after the choice: how long its answer is waited for, where all
-    /// still holds that a relay to that server needs. Where it does not, the relay ends as never sent.
-    pub fn relay_begins(&mut self, now: Moment, id: JobId) -> Option<Span> {
+    /// Returns how long to wait for the answer of a relay whose connection is up; `None` if it may no longer be sent.
+    pub fn relay_connected(&mut self, now: Moment, id: JobId) -> Option<Span> {
         self.now = now;
         let job = self.jobs.get(&id)?;
         self.servers.get(&job.server).filter(|server| self.may_have(job, server))?;
@@ -682,7 +678,7 @@
 
     fn patience(&self, job: &Job) -> Option<Span> {
         let tick = self.deployment.tick;
-        Some((job.arrival.abandon - tick - tick).since(self.now)).filter(|patience| *patience > tick)
+        Some((job.arrival.abandon_at - tick - tick).since(self.now)).filter(|patience| *patience > tick)
     }
 
     /// Whether a job may be sent to a server, which never gets it twice in a row.
@@ -692,9 +688,9 @@
 
     /// Rules 2 and 3: whether a server may have a job now.
     fn may_have(&self, job: &Job, server: &Server) -> bool {
-        let (repeat, origin) = (self.deployment.bands[job.arrival.band].repeat, job.may_have_run);
+        let (repeat, origin) = (self.deployment.classes[job.arrival.class].repeat, job.may_have_run);
         server.ready()
-            && origin.is_none_or(|(sent, from)| repeat.may_go(&from, &server.entry, self.now.since(sent)))
+            && origin.is_none_or(|(sent, from)| repeat.allows(&from, &server.entry, self.now.since(sent)))
     }
 
     fn has_room(&self, id: ServerId, job: &Job) -> bool {
@@ -705,7 +701,7 @@
         };
         let enough = if server.unwell(self.now, self.fleet.usual) {
             // One relay at a time shows if it is well again, the more seldom the more failed.
-            let seldom = if self.deployment.bands[job.arrival.band].repeat.is_free() { 1.0 } else { 4.0 };
+            let seldom = if self.deployment.classes[job.arrival.class].repeat.is_safe() { 1.0 } else { 4.0 };
             let rest = TRIAL.times(seldom / (1.0 - server.failing).max(0.05));
             server.out > 0.0 || self.now.since(server.tried) < rest
         } else {
@@ -714,7 +710,7 @@
         };
         !enough
             && self.cold_part(server).is_none_or(|(rate, left)| {
-                let at_once = rate * self.deployment.cold.fall_span.secs() / 2.0;
+                let at_once = rate * self.deployment.cold_start.overload_window.secs() / 2.0;
                 rate > 0.0 && (left <= 0.0 || left + job.arrival.units <= at_once)
             })
     }
@@ -723,17 +719,18 @@
     /// of it is still ahead. Half is kept back for slower machines and uneven work.
     fn cold_part(&self, server: &Server) -> Option<(f64, f64)> {
         const KEPT_BACK: f64 = 0.5;
-        let (now, cold) = (self.now, self.deployment.cold);
+        let (now, cold, start) =
+            (self.now, self.deployment.cold_start, self.deployment.cold_start.initial_share);
         let age = Some(now.since(server.entry.started?)).filter(|age| *age <= cold.warm_after)?;
-        let warmth = cold.share + (1.0 - cold.share) * age.secs() / cold.warm_after.secs().max(0.001);
-        let multiple = KEPT_BACK * cold.fall_multiple * warmth;
+        let warmth = start + (1.0 - start) * age.secs() / cold.warm_after.secs().max(0.001);
+        let multiple = KEPT_BACK * cold.overload_multiple * warmth;
         let rate = multiple * self.carried().unwrap_or(self.fleet.carried) * server.entry.rating;
         Some((rate, server.push.drained(rate, now)))
     }
 
     /// What warm servers carry, in units a second by rating, if any is warm.
     fn carried(&self) -> Option<f64> {
-        let (now, after) = (self.now, self.deployment.cold.warm_after);
+        let (now, after) = (self.now, self.deployment.cold_start.warm_after);
         let long_up = |to: &&Server| to.entry.started.is_none_or(|started| now.since(started) > after);
         let (mut warm, mut carried) = (0.0, 0.0);
         for to in self.servers.values().filter(|to| to.ready()).filter(long_up) {
@@ -746,7 +743,7 @@
     pub fn relay_ended(&mut self, now: Moment, end: RelayEnd) {
         self.now = now;
         let known = self.jobs.get(&end.job).map(|job| job.arrival);
-        let target = known.map_or(1.0, |job| self.deployment.bands[job.band].target.secs());
+        let target = known.map_or(1.0, |job| self.deployment.classes[job.class].latency_target.secs());
         self.learn(&end, known.map_or(1.0, |job| job.units), target);
         if let Some(job) = self.jobs.get_mut(&end.job) {
             let Stage::Out(sent) = job.stage else { return self.work_off() };
@@ -756,12 +753,12 @@
             job.may_have_run = job.may_have_run.or((!unrun).then_some((sent, at)));
             // A job that no server may have any more would be held for nothing until its time runs short.
             let again = |job: &Job| {
-                job.relays < self.deployment.most_relays
+                job.relays < self.deployment.max_relays
                     && (self.fleet.spare >= 1.0 || end.outcome == Outcome::ConnectFailed)
                     && now < self.latest(job)
                     && self.servers.values().any(|to| self.may_go(job, to))
             };
-            if end.settled || end.outcome == Outcome::Satisfied {
+            if end.job_finished || end.outcome == Outcome::Succeeded {
                 self.forget(end.job);
             } else if self.jobs.get(&end.job).is_some_and(again) {
                 self.fleet.spare = (self.fleet.spare - 1.0).max(0.0);
@@ -776,12 +773,12 @@
     fn learn(&mut self, end: &RelayEnd, units: f64, target: f64) {
         // About as many relays as a small machine has cores keep it at work, however slow its answers.
         const LEAST: f64 = 3.0;
-        let least = (LEAST / f64::from(self.deployment.gateways)).min(1.0);
-        let (now, took, fleet) = (self.now, end.took.secs(), &mut self.fleet);
+        let least = (LEAST / f64::from(self.deployment.gateway_count)).min(1.0);
+        let (now, took, fleet) = (self.now, end.duration.secs(), &mut self.fleet);
         let Some(server) = self.servers.get_mut(&end.server) else { return };
         (server.out, fleet.out) = ((server.out - 1.0).max(0.0), (fleet.out - 1.0).max(0.0));
         match end.outcome {
-            Outcome::Satisfied => {
+            Outcome::Succeeded => {
                 server.gap += 0.1 * (now.since(server.heard).secs() - server.gap);
                 server.heard = now;
                 server.failing *= 0.8;
@@ -809,7 +806,7 @@
                     fleet.bound *= 1.03;
                 }
             }
-            Outcome::Withdrawn | Outcome::NotSent => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Full | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
                 // A server that fails or turns all away at once would look idle and draw all jobs.
                 server.failing += 0.2 * (1.0 - server.failing);
@@ -822,8 +819,8 @@
         }
         fleet.bound = fleet.bound.max(least);
         // A refusal comes at once; rested only by that, many gateways would ask again in a herd.
-        let shortest = if end.outcome == Outcome::Satisfied { 0.0 } else { fleet.usual };
-        let busy = end.took.max(Span::from_secs(shortest));
+        let shortest = if end.outcome == Outcome::Succeeded { 0.0 } else { fleet.usual };
+        let busy = end.duration.max(Span::from_secs(shortest));
         (server.rested, fleet.rested) =
             (now + rest(busy, server.bound), now + rest(busy, fleet.bound * fleet.ready.max(1.0)));
     }
@@ -831,7 +828,7 @@
     /// What goes first under pressure: the most benefit, and of that the newest, as the oldest would be late.
     fn place(&self, job: &Job) -> (u64, Moment, JobId) {
         let (of, sold) = (&job.arrival, &self.deployment);
-        let benefit = sold.bands[of.band].benefit * sold.plans[of.plan].price;
+        let benefit = sold.classes[of.class].benefit * sold.plans[of.plan].price;
         (benefit.to_bits(), job.target, of.job)
     }
 
@@ -845,8 +842,8 @@
         }
     }
 
-    /// Nothing is owed: the client has gone, or a streamed answer has begun and the job is the client's now.
-    pub fn job_left(&mut self, now: Moment, job: JobId) {
+    /// Drops a job that needs no answer any more: the client is gone, or a streamed answer has begun.
+    pub fn job_closed(&mut self, now: Moment, job: JobId) {
         self.now = now;
         self.forget(job);
     }
@@ -859,7 +856,7 @@
         self.fleet.backlog.remove(&place);
         // Units counted and unsent, or the place of a relay that has ended, go back to the count.
         let plan = &self.deployment.plans[customer.plan];
-        let by_cap = plan.limited() && !plan.by_rate();
+        let by_cap = plan.has_quota() && !plan.is_rate_limited();
         if job.ungranted() || (job.relays > 0 && !by_cap) {
             return;
         }
@@ -873,11 +870,11 @@
     /// The final answer to a job with no relay out: a dismissal where a retry is harmless, else a forfeit.
     fn give_up(&mut self, id: JobId, room_after: Option<Span>) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.may_have_run.is_none() || self.deployment.bands[job.arrival.band].repeat.is_free() {
-            let hold_off = self.deployment.longest_hold_off.and_then(|most| Some(room_after?.min(most)));
-            self.host.dismiss(id, hold_off);
+        if job.may_have_run.is_none() || self.deployment.classes[job.arrival.class].repeat.is_safe() {
+            let hold_off = self.deployment.max_retry_after.and_then(|most| Some(room_after?.min(most)));
+            self.host.reject(id, hold_off);
         } else {
-            self.host.forfeit(id);
+            self.host.fail(id);
         }
         self.forget(id);
     }
@@ -895,11 +892,13 @@
         } else if let Some(job) = self.jobs.get(&mark) {
             let (stage, latest) = (job.stage, self.latest(job));
             match stage {
-                Stage::Out(sent) if now > self.hangs(job, sent) => self.host.withdraw(mark, job.relays - 1),
+                Stage::Out(sent) if now > self.hangs(job, sent) => {
+                    self.host.cancel_relay(mark, job.relays - 1)
+                }
                 Stage::Out(_) => {}
                 _ if now >= latest => self.give_up(mark, None),
                 Stage::Cleared if !self.fleet.backlog.contains(&self.place(job)) => self.dispatch(mark),
-                _ => self.host.wake(latest.since(now), mark),
+                _ => self.host.set_timer(latest.since(now), mark),
             }
         }
     }
@@ -907,8 +906,9 @@
     /// When a relay, out unusually long and past its target time, is taken back where a late answer earns
     /// nothing: it keeps a place that others could use, whatever it hangs on.
     fn hangs(&self, job: &Job, sent: Moment) -> Moment {
-        let kept = self.deployment.bands[job.arrival.band].late_share > 0.0 || !self.deployment.may_withdraw;
-        let until = if kept { job.arrival.abandon } else { job.target };
+        let kept = self.deployment.classes[job.arrival.class].late_benefit_share > 0.0
+            || !self.deployment.may_cancel_relays;
+        let until = if kept { job.arrival.abandon_at } else { job.target };
         until.max(sent + Span::from_secs(self.fleet.usual * UNUSUAL))
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
 //! What a gateway remembers; `choice.rs` alone decides by it.
 
-use crate::host::{Arrival, CountName, CustomerId, Entry, Health, JobId, ServerId};
+use crate::host::{Arrival, CounterKey, CustomerId, Health, JobId, RosterEntry, ServerId};
 use crate::time::{Moment, Span};
-use fennelgauge_spread::{Pace, Slice};
+use fennelgauge_spread::{RelayRate, Subset};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub(crate) struct Job {
@@ -16,7 +16,7 @@
     /// The latest relay's server.
     pub(crate) server: ServerId,
     /// When the first relay that may have run was sent, and where.
-    pub(crate) may_have_run: Option<(Moment, Entry)>,
+    pub(crate) may_have_run: Option<(Moment, RosterEntry)>,
 }
 
 impl Job {
@@ -41,7 +41,7 @@
 /// All that is known of one server.
 #[derive(Default)]
 pub(crate) struct Server {
-    pub(crate) entry: Entry,
+    pub(crate) entry: RosterEntry,
     pub(crate) out: f64,
     /// Relays that it may have of this gateway at once before it has enough.
     pub(crate) bound: f64,
@@ -75,10 +75,10 @@
     pub(crate) roster: u64,
     /// This gateway's slice of the servers, the same for all customers; as of which state of the roster, and how
     /// many servers were wanted.
-    pub(crate) slice: Slice,
+    pub(crate) subset: Subset,
     pub(crate) sliced: (u64, f64),
     /// Relays a second.
-    pub(crate) pace: Pace,
+    pub(crate) pace: RelayRate,
     /// Jobs with room in their quota that no server had room for, by benefit, then target time.
     pub(crate) backlog: BTreeSet<(u64, Moment, JobId)>,
     /// A timer is set to try it again.
@@ -210,7 +210,7 @@
     /// Units to lend, and not before.
     pub(crate) lent: f64,
     pub(crate) lends_at: Moment,
-    pub(crate) draw: Option<(CountName, f64, Vec<JobId>)>,
+    pub(crate) draw: Option<(CounterKey, f64, Vec<JobId>)>,
 }
 
 impl Server {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,8 +13,8 @@
     Dismiss(JobId),
     Forfeit(JobId),
     Wake(Span, u64),
-    Add(CountName, f64),
-    Among(CountName, f64, Wanted),
+    Add(CounterKey, f64),
+    Among(CounterKey, f64, ConditionalAdd),
 }
 
 /// The second says whether the gateways can count among themselves, the third among how many a quota is shared.
@@ -35,62 +35,67 @@
     fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
         self.put(Act::Relay(job, server, patience));
     }
-    fn withdraw(&mut self, job: JobId, relay: u8) {
+    fn cancel_relay(&mut self, job: JobId, relay: u8) {
         self.put(Act::Withdraw(job, relay));
     }
-    fn dismiss(&mut self, job: JobId, _: Option<Span>) {
+    fn reject(&mut self, job: JobId, _: Option<Span>) {
         self.put(Act::Dismiss(job));
     }
-    fn forfeit(&mut self, job: JobId) {
+    fn fail(&mut self, job: JobId) {
         self.put(Act::Forfeit(job));
     }
-    fn wake(&mut self, after: Span, mark: u64) {
+    fn set_timer(&mut self, after: Span, mark: u64) {
         self.put(Act::Wake(after, mark));
     }
-    fn add(&mut self, name: CountName, amount: f64, _: Span) {
+    fn add_to_counter(&mut self, name: CounterKey, amount: f64, _: Span) {
         self.put(Act::Add(name, amount));
     }
-    fn counts_among(&mut self) -> bool {
+    fn peers_can_count(&mut self) -> bool {
         self.1.get()
     }
-    fn add_among(&mut self, name: CountName, amount: f64, wanted: Wanted) {
+    fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
         self.put(Act::Among(name, amount, wanted));
     }
-    fn sharers(&mut self, _: u32, set_size: f64) -> f64 {
+    fn quota_sharers(&mut self, _: u32, set_size: f64) -> f64 {
         self.2.get().unwrap_or(set_size)
     }
-    fn follow_roster(&mut self) {}
+    fn subscribe_to_roster(&mut self) {}
 }
 
 pub const CEILING: Ceiling = Ceiling { rate: 3.0, burst: 12.0, slack: 1.0 };
 
 /// Every kind of band; a plan of rate, one of relays out, a soft one with a ceiling.
 pub fn deployment() -> Deployment {
-    let band = |repeat| Band { target: Span::from_millis(500), benefit: 1.0, late_share: 0.1, repeat };
+    let band = |repeat| ServiceClass {
+        latency_target: Span::from_millis(500),
+        benefit: 1.0,
+        late_benefit_share: 0.1,
+        repeat,
+    };
     let window = Span::from_millis(300);
     Deployment {
-        gateways: 2,
+        gateway_count: 2,
         tick: Span::from_millis(2),
-        bands: vec![
-            band(Repeat::Pure),
-            band(Repeat::Receipted(Group::All, window)),
-            band(Repeat::Receipted(Group::Cell, window)),
-            band(Repeat::Effectful),
+        classes: vec![
+            band(RepeatPolicy::Idempotent),
+            band(RepeatPolicy::Deduplicated(DedupScope::All, window)),
+            band(RepeatPolicy::Deduplicated(DedupScope::Cell, window)),
+            band(RepeatPolicy::NonIdempotent),
         ],
         plans: vec![
-            Plan { rate: 4.0, burst: 12.0, over_cost: 1.0, ..Plan::default() },
-            Plan { relays_out: 3.0, over_cost: 0.5, ..Plan::default() },
-            Plan { rate: 15.0, burst: 12.0, over_share: 0.2, ceiling: Some(CEILING), ..Plan::default() },
+            Plan { rate: 4.0, burst: 12.0, overage_cost: 1.0, ..Plan::default() },
+            Plan { max_concurrent_relays: 3.0, overage_cost: 0.5, ..Plan::default() },
+            Plan { rate: 15.0, burst: 12.0, overage_share: 0.2, ceiling: Some(CEILING), ..Plan::default() },
         ],
         has_counter: true,
-        may_withdraw: true,
-        most_relays: 4,
-        longest_hold_off: Some(Span::from_millis(1_000)),
-        cold: Cold {
-            share: 0.3,
+        may_cancel_relays: true,
+        max_relays: 4,
+        max_retry_after: Some(Span::from_millis(1_000)),
+        cold_start: ColdStart {
+            initial_share: 0.3,
             warm_after: Span::from_millis(10_000),
-            fall_multiple: 2.0,
-            fall_span: Span::from_millis(1_000),
+            overload_multiple: 2.0,
+            overload_window: Span::from_millis(1_000),
         },
         ..Deployment::default()
     }
@@ -100,22 +105,37 @@
     Moment::from_micros(1_000_000_000 + millis * 1_000)
 }
 
-pub fn entry(server: ServerId, health: Health, started: Option<Moment>) -> Entry {
-    Entry { server, health, rating: 1.0, zone: 0, cell: (server % 2) as u16, started }
+pub fn entry(server: ServerId, health: Health, started: Option<Moment>) -> RosterEntry {
+    RosterEntry { server, health, rating: 1.0, zone: 0, cell: (server % 2) as u16, started }
 }
 
 pub fn arrival(job: JobId, band: usize, plan: usize, units: f64, abandon: Moment) -> Arrival {
-    Arrival { job, customer: 7 + plan as u64, band, plan, units, set_first: 0, set_size: 2, abandon }
+    Arrival {
+        job,
+        customer: 7 + plan as u64,
+        class: band,
+        plan,
+        units,
+        first_gateway: 0,
+        gateway_set_size: 2,
+        abandon_at: abandon,
+    }
 }
 
 /// A gateway that knows `servers` warm servers.
 pub fn gateway(deployment: Deployment, servers: u32) -> (Gateway<Notes>, Notes) {
     let notes = Notes::default();
     let mut gateway = Gateway::start(at(0), notes.clone(), deployment, 5);
-    gateway.roster_listed(at(0), (0..servers).map(|id| entry(id, Health::Ready, None)));
+    gateway.roster_replaced(at(0), (0..servers).map(|id| entry(id, Health::Ready, None)));
     (gateway, notes)
 }
 
 pub fn end(job: JobId, server: ServerId, outcome: Outcome, took: u64) -> RelayEnd {
-    RelayEnd { job, server, outcome, took: Span::from_millis(took), settled: outcome == Outcome::Satisfied }
+    RelayEnd {
+        job,
+        server,
+        outcome,
+        duration: Span::from_millis(took),
+        job_finished: outcome == Outcome::Succeeded,
+    }
 }
--- a/tests/found.rs
+++ b/tests/found.rs
@@ -8,7 +8,7 @@
 use fennelgauge::time::Span;
 use std::collections::BTreeMap;
 
-fn count_of(acts: &[Act]) -> Option<(CountName, f64)> {
+fn count_of(acts: &[Act]) -> Option<(CounterKey, f64)> {
     acts.iter().find_map(|act| if let Act::Add(name, amount) = act { Some((*name, *amount)) } else { None })
 }
 
@@ -24,7 +24,7 @@
     let (mut gateway, notes) = gateway(deployment, 2);
     gateway.job_arrived(at(10), arrival(1, 0, 2, 4.0, at(400)));
     let (name, amount) = count_of(&notes.take()).expect("an ask");
-    gateway.counted(at(12), name, Some(amount), Outcome::Satisfied);
+    gateway.counter_replied(at(12), name, Some(amount), Outcome::Succeeded);
     assert!(notes.take().contains(&Act::Dismiss(1)));
 }
 
@@ -38,7 +38,7 @@
         let now = job * 2_000;
         gateway.job_arrived(at(now), arrival(job, 0, 0, 1.0, at(now + 1_900)));
         let server = relayed(&notes.take()).expect("a relay");
-        gateway.relay_ended(at(now + 1_500), end(job, server, Outcome::Satisfied, 1_500));
+        gateway.relay_ended(at(now + 1_500), end(job, server, Outcome::Succeeded, 1_500));
     }
 }
 
@@ -48,7 +48,7 @@
     let (mut gateway, notes) = gateway(deployment(), 2);
     gateway.job_arrived(at(10), arrival(1, 0, 1, 1.0, at(2_000)));
     let (name, amount) = count_of(&notes.take()).expect("an ask");
-    gateway.counted(at(12), name, Some(amount + 3.0), Outcome::Satisfied);
+    gateway.counter_replied(at(12), name, Some(amount + 3.0), Outcome::Succeeded);
     assert_eq!(count_of(&notes.take()), Some((name, -amount)));
 }
 
@@ -70,16 +70,19 @@
 fn gateways_judging_alone_keep_the_pace_together() {
     let mut sent = 0;
     for own_index in 0..8 {
-        let deployment = Deployment { gateways: 8, own_index, has_counter: false, ..deployment() };
+        let deployment = Deployment { gateway_count: 8, own_index, has_counter: false, ..deployment() };
         let (mut gateway, notes) = gateway(deployment, 4);
         for job in 0..400 {
             let (now, set_size) = (10 + job * 50, 8);
-            gateway.job_left(at(now), job.saturating_sub(1));
-            gateway.job_arrived(at(now), Arrival { set_size, ..arrival(job, 0, 0, 1.0, at(now + 500)) });
+            gateway.job_closed(at(now), job.saturating_sub(1));
+            gateway.job_arrived(
+                at(now),
+                Arrival { gateway_set_size: set_size, ..arrival(job, 0, 0, 1.0, at(now + 500)) },
+            );
             for act in notes.take() {
                 if let Act::Relay(job, server, _) = act {
                     sent += 1;
-                    gateway.relay_ended(at(now + 1), end(job, server, Outcome::Satisfied, 1));
+                    gateway.relay_ended(at(now + 1), end(job, server, Outcome::Succeeded, 1));
                 }
             }
         }
@@ -95,13 +98,13 @@
     for (late_share, taken_back) in [(0.0, true), (0.2, false)] {
         let mut deployment = deployment();
         deployment.plans[0] = Plan::default();
-        deployment.bands[0].late_share = late_share;
+        deployment.classes[0].late_benefit_share = late_share;
         let (mut gateway, notes) = gateway(deployment, 1);
         gateway.job_arrived(at(10), arrival(1, 0, 0, 1.0, at(5_000)));
         for job in 2..60 {
             let now = job * 40;
             gateway.job_arrived(at(now), arrival(job, 0, 0, 1.0, at(now + 4_000)));
-            gateway.relay_ended(at(now + 20), end(job, 0, Outcome::Satisfied, 20));
+            gateway.relay_ended(at(now + 20), end(job, 0, Outcome::Succeeded, 20));
             gateway.timer_fired(at(now + 20), 1);
         }
         assert_eq!(notes.take().contains(&Act::Withdraw(1, 0)), taken_back);
@@ -112,7 +115,7 @@
 #[test]
 fn what_a_server_gets_at_first_is_divided_by_the_gateways() {
     for (gateways, most) in [(2, 6), (12, 1)] {
-        let mut deployment = Deployment { gateways, ..deployment() };
+        let mut deployment = Deployment { gateway_count: gateways, ..deployment() };
         deployment.plans[0] = Plan::default();
         let (mut gateway, notes) = gateway(deployment, 1);
         (0..20).for_each(|job| gateway.job_arrived(at(10), arrival(job, 0, 0, 1.0, at(2_000))));
@@ -131,7 +134,7 @@
         let arrival = Arrival { customer: job % 50, ..arrival(job, 0, 0, 1.0, at(job * 20 + 2_000)) };
         gateway.job_arrived(at(job * 20), arrival);
         while let Some(server) = relayed(&notes.take()) {
-            let outcome = if server == 0 { Outcome::Full } else { Outcome::Satisfied };
+            let outcome = if server == 0 { Outcome::Full } else { Outcome::Succeeded };
             sent += usize::from(server == 0);
             gateway.relay_ended(at(job * 20 + 1), end(job, server, outcome, 1));
         }
@@ -152,11 +155,11 @@
                 Act::Add(name, amount) => {
                     let total = totals.entry(name).or_insert(0.0);
                     *total += amount;
-                    gateway.counted(at(job * 10), name, Some(*total), Outcome::Satisfied);
+                    gateway.counter_replied(at(job * 10), name, Some(*total), Outcome::Succeeded);
                 }
                 Act::Relay(job, server, _) => {
                     sent += 1.0;
-                    gateway.relay_ended(at(job * 10), end(job, server, Outcome::Satisfied, 1));
+                    gateway.relay_ended(at(job * 10), end(job, server, Outcome::Succeeded, 1));
                 }
                 _ => {}
             }
@@ -169,7 +172,7 @@
 /// Where idle servers take a fifth of the target time, every answer counted as slow and all got the least.
 #[test]
 fn servers_of_a_slow_kind_are_not_cut_for_their_pace() {
-    let mut deployment = Deployment { gateways: 12, ..deployment() };
+    let mut deployment = Deployment { gateway_count: 12, ..deployment() };
     deployment.plans[0] = Plan::default();
     let (mut gateway, notes) = gateway(deployment, 1);
     let mut last = 0;
@@ -179,7 +182,7 @@
         for act in notes.take() {
             if let Act::Relay(id, server, _) = act {
                 last += usize::from(job >= 3_500);
-                gateway.relay_ended(at(now + took), end(id, server, Outcome::Satisfied, took));
+                gateway.relay_ended(at(now + took), end(id, server, Outcome::Succeeded, took));
             }
         }
     }
@@ -199,10 +202,12 @@
             let mut acts = notes.take();
             while let Some(act) = acts.pop() {
                 match act {
-                    Act::Add(name, _) => gateway.counted(at(now), name, Some(0.0), Outcome::Satisfied),
+                    Act::Add(name, _) => {
+                        gateway.counter_replied(at(now), name, Some(0.0), Outcome::Succeeded)
+                    }
                     Act::Relay(job, server, _) => {
                         sent += 1.0;
-                        gateway.relay_ended(at(now), end(job, server, Outcome::Satisfied, 1));
+                        gateway.relay_ended(at(now), end(job, server, Outcome::Succeeded, 1));
                     }
                     _ => {}
                 }
@@ -216,18 +221,19 @@
 /// Each of a hundred gateways asked a counter that turns calls away again at once, a hundred times a job.
 #[test]
 fn calls_rest_where_many_gateways_share_a_counter() {
-    let (mut gateway, notes) = gateway(Deployment { gateways: 100, ..deployment() }, 4);
+    let (mut gateway, notes) = gateway(Deployment { gateway_count: 100, ..deployment() }, 4);
     let mut calls = 0;
     for job in 0..40 {
         // Two jobs of each customer: one goes alone, the other waits for a total.
-        let arrival = Arrival { customer: job / 2, set_size: 100, ..arrival(job, 0, 0, 2.0, at(2_000)) };
+        let arrival =
+            Arrival { customer: job / 2, gateway_set_size: 100, ..arrival(job, 0, 0, 2.0, at(2_000)) };
         gateway.job_arrived(at(10), arrival);
     }
     for now in (10..400).step_by(2) {
         for act in notes.take() {
             if let Act::Add(name, _) = act {
                 calls += 1;
-                gateway.counted(at(now), name, None, Outcome::Full);
+                gateway.counter_replied(at(now), name, None, Outcome::Full);
             }
         }
         gateway.timer_fired(at(now), u64::MAX);
@@ -240,7 +246,7 @@
 fn many_gateways_do_not_send_a_cold_server_their_first_jobs_at_once() {
     let mut sent = 0;
     for own_index in 0..60 {
-        let mut deployment = Deployment { gateways: 60, own_index, ..deployment() };
+        let mut deployment = Deployment { gateway_count: 60, own_index, ..deployment() };
         deployment.plans[0] = Plan::default();
         let (mut gateway, notes) = gateway(deployment, 2);
         for job in 0..40 {
@@ -252,7 +258,7 @@
             for act in notes.take() {
                 if let Act::Relay(id, server, _) = act {
                     sent += usize::from(job >= 38 && server == 0);
-                    gateway.relay_ended(at(now + 20), end(id, server, Outcome::Satisfied, 20));
+                    gateway.relay_ended(at(now + 20), end(id, server, Outcome::Succeeded, 20));
                 }
             }
         }
@@ -275,27 +281,27 @@
     let (mut first, notes) = gateway(deployment(), 4);
     first.job_arrived(at(10), arrival(1, 0, 0, 6.5, at(2_000)));
     let (name, amount) = count_of(&notes.take()).expect("an ask");
-    first.counted(at(12), name, Some(amount), Outcome::Satisfied);
+    first.counter_replied(at(12), name, Some(amount), Outcome::Succeeded);
     let (last, _) = count_of(&notes.take()).expect("a look at the last window");
-    first.counted(at(14), last, Some(12.0), Outcome::Satisfied);
+    first.counter_replied(at(14), last, Some(12.0), Outcome::Succeeded);
     let (told, lacked) = count_of(&notes.take()).expect("word of what the burst lacks");
     assert!(told == name && last != name && lacked > 1_000.0);
     let (mut second, notes) = gateway(deployment(), 4);
     second.job_arrived(at(20), arrival(2, 0, 0, 1.0, at(420)));
     assert!(count_of(&notes.take()).is_some());
-    second.counted(at(22), name, Some(amount + lacked + 1.0), Outcome::Satisfied);
+    second.counter_replied(at(22), name, Some(amount + lacked + 1.0), Outcome::Succeeded);
     assert_eq!(relayed(&notes.take()), None);
 }
 
 /// A fleet cut down to a few servers got as many relays as the whole one.
 #[test]
 fn a_fleet_that_shrinks_gets_less() {
-    let mut deployment = Deployment { gateways: 20, ..deployment() };
+    let mut deployment = Deployment { gateway_count: 20, ..deployment() };
     deployment.plans[0] = Plan::default();
     let (mut gateway, notes) = gateway(deployment, 20);
     let mut out = [0, 0];
     for (round, ready) in [(0, 20), (1, 2)] {
-        gateway.roster_listed(at(10), (0..ready).map(|id| entry(id, Health::Ready, None)));
+        gateway.roster_replaced(at(10), (0..ready).map(|id| entry(id, Health::Ready, None)));
         (0..50).for_each(|job| gateway.job_arrived(at(10), arrival(100 * round + job, 0, 0, 1.0, at(2_000))));
         let relays = notes.take().into_iter().filter(|act| matches!(act, Act::Relay(..))).count();
         out[round as usize] = relays;
@@ -332,8 +338,8 @@
         let (now, third) = (at(job), job as usize / 2_000);
         for (name, amount) in std::mem::take(&mut out) {
             let (total, outcome) =
-                if third == 1 { (None, Outcome::TimedOut) } else { (Some(amount), Outcome::Satisfied) };
-            gateway.counted(now, name, total, outcome);
+                if third == 1 { (None, Outcome::TimedOut) } else { (Some(amount), Outcome::Succeeded) };
+            gateway.counter_replied(now, name, total, outcome);
             calls[third] += 1;
         }
         let arrival = Arrival { customer: 1_000 + job, ..arrival(job, 0, 0, 1.0, at(job + 400)) };
@@ -370,9 +376,9 @@
         let server = relayed(&notes.take());
         if let Some(server) = server {
             units += if job % 20 == 0 { 1.0 } else { 0.0 };
-            gateway.relay_ended(now, end(job, server, Outcome::Satisfied, 1));
+            gateway.relay_ended(now, end(job, server, Outcome::Succeeded, 1));
         } else {
-            gateway.job_left(now, job);
+            gateway.job_closed(now, job);
         }
     }
     assert!(units > 100.0 && units <= 1.5 * 210.0 + 6.5, "{units}");
@@ -384,7 +390,7 @@
     let (mut gateway, notes) = gateway(deployment(), 2);
     gateway.job_arrived(at(10), arrival(1, 0, 0, 1.0, at(2_000)));
     let (name, _) = count_of(&notes.take()).expect("an ask");
-    gateway.counted(at(40), name, None, Outcome::TimedOut);
+    gateway.counter_replied(at(40), name, None, Outcome::TimedOut);
     assert!(relayed(&notes.take()).is_some());
 }
 
@@ -401,7 +407,7 @@
             gateway.job_arrived(at(now), Arrival { customer, ..arrival(*job, 0, 0, 1.0, at(now + 2_000)) });
             let server = relayed(&notes.take());
             if let Some(server) = server {
-                gateway.relay_ended(at(now + 10), end(*job, server, Outcome::Satisfied, 10));
+                gateway.relay_ended(at(now + 10), end(*job, server, Outcome::Succeeded, 10));
             }
             server.is_some()
         });
@@ -409,7 +415,7 @@
     };
     assert_eq!(relays(&mut gateway, 0..200, 0), 200);
     let fresh = (2..4).map(|id| entry(id, Health::Ready, Some(at(4_000))));
-    gateway.roster_listed(at(4_000), fresh);
+    gateway.roster_replaced(at(4_000), fresh);
     // As much as their part of what warm ones carried; nothing before.
     let sent = relays(&mut gateway, 200..400, 2_000);
     assert!((20..150).contains(&sent), "{sent}");
@@ -431,16 +437,16 @@
             let name =
                 acts.iter().find_map(|act| if let Act::Add(name, _) = act { Some(*name) } else { None });
             if let Some(server) = relayed(&acts) {
-                gateway.relay_ended(now, end(job, server, Outcome::Satisfied, 1));
+                gateway.relay_ended(now, end(job, server, Outcome::Succeeded, 1));
             }
             let Some(name) = name else { break };
             asked_after += u32::from(job > 300);
             let total = (job >= 100).then_some(1.0);
-            gateway.counted(
+            gateway.counter_replied(
                 now,
                 name,
                 total,
-                if total.is_some() { Outcome::Satisfied } else { Outcome::Full },
+                if total.is_some() { Outcome::Succeeded } else { Outcome::Full },
             );
         }
     }
--- a/tests/mass.rs
+++ b/tests/mass.rs
@@ -15,16 +15,16 @@
 /// At 300 gateways: a hard plan whose use beyond the quota costs less than it earns within, one where it
 /// costs more, and a soft plan whose ceiling is four times its quota.
 fn many() -> Deployment {
-    let mut deployment = Deployment { gateways: 300, ..deployment() };
+    let mut deployment = Deployment { gateway_count: 300, ..deployment() };
     let ceiling = Ceiling { rate: 40.0, burst: 40.0, slack: 4.0 };
-    let hard = Plan { rate: 10.0, burst: 10.0, price: 1.2, over_cost: 0.5, ..Plan::default() };
+    let hard = Plan { rate: 10.0, burst: 10.0, price: 1.2, overage_cost: 0.5, ..Plan::default() };
     deployment.plans[0] = hard.clone();
-    deployment.plans[1] = Plan { price: 0.72, over_cost: 1.2, ..hard };
+    deployment.plans[1] = Plan { price: 0.72, overage_cost: 1.2, ..hard };
     deployment.plans[2] = Plan {
         rate: 10.0,
         burst: 10.0,
         price: 1.6,
-        over_share: 0.2,
+        overage_share: 0.2,
         ceiling: Some(ceiling),
         ..Plan::default()
     };
@@ -37,7 +37,11 @@
 #[test]
 fn a_soft_plan_does_not_wait_for_calls_that_are_rationed() {
     let (mut gateway, notes) = gateway(many(), 400);
-    let job = |id, customer, plan| Arrival { customer, set_size: 8, ..arrival(id, 0, plan, 1.0, at(3_000)) };
+    let job = |id, customer, plan| Arrival {
+        customer,
+        gateway_set_size: 8,
+        ..arrival(id, 0, plan, 1.0, at(3_000))
+    };
     // The first customer's call leaves the counter resting; the others' must wait their turn. The ceiling's
     // share counts as spent at the start, and has filled after two seconds.
     gateway.job_arrived(at(2_010), job(1, 1, 0));
@@ -63,7 +67,7 @@
     notes.take();
     let mut sent = 0;
     for id in 10..40 {
-        let arrival = Arrival { customer: 2, set_size: 8, ..arrival(id, 0, 2, 1.0, at(3_000)) };
+        let arrival = Arrival { customer: 2, gateway_set_size: 8, ..arrival(id, 0, 2, 1.0, at(3_000)) };
         gateway.job_arrived(at(2_011), arrival);
         sent += relays(&notes.take()).len();
     }
@@ -111,7 +115,7 @@
     let mut given = [0; 60];
     for own_index in 0..300 {
         let deployment = Deployment { own_index, ..unlimited() };
-        let servers = sent(&mut gateway(deployment, 60), 0, 60, 200, |_| (Outcome::Satisfied, 20));
+        let servers = sent(&mut gateway(deployment, 60), 0, 60, 200, |_| (Outcome::Succeeded, 20));
         let different: BTreeSet<&ServerId> = servers.iter().collect();
         assert!(different.len() <= 4, "{different:?}");
         servers.iter().for_each(|server| given[*server as usize] += 1);
@@ -126,12 +130,12 @@
 fn a_slice_with_nobody_well_widens_and_narrows_again() {
     let mut played = gateway(unlimited(), 60);
     let slice: BTreeSet<ServerId> =
-        sent(&mut played, 0, 20, 200, |_| (Outcome::Satisfied, 20)).into_iter().collect();
+        sent(&mut played, 0, 20, 200, |_| (Outcome::Succeeded, 20)).into_iter().collect();
     let bad = |server: ServerId| {
         if slice.contains(&server) {
             (Outcome::ConnectFailed, 5)
         } else {
-            (Outcome::Satisfied, 20)
+            (Outcome::Succeeded, 20)
         }
     };
     sent(&mut played, 20, 20, 200, bad);
@@ -139,8 +143,8 @@
     let elsewhere = wide.iter().filter(|server| !slice.contains(server)).count();
     assert!(elsewhere >= 38 && wide.iter().collect::<BTreeSet<_>>().len() <= slice.len() + 4, "{wide:?}");
     // Well again, they are found by single trials, and the neighbours are left.
-    sent(&mut played, 80, 60, 200, |_| (Outcome::Satisfied, 20));
-    let narrow = sent(&mut played, 140, 20, 200, |_| (Outcome::Satisfied, 20));
+    sent(&mut played, 80, 60, 200, |_| (Outcome::Succeeded, 20));
+    let narrow = sent(&mut played, 140, 20, 200, |_| (Outcome::Succeeded, 20));
     assert!(narrow.iter().all(|server| slice.contains(server)), "{narrow:?} {slice:?}");
 }
 
@@ -158,7 +162,7 @@
             gateway.job_arrived(at(now), Arrival { customer, ..arrival(job, 0, 0, 1.0, at(now + 5_000)) });
             for (job, server) in relays(&notes.take()) {
                 played += 1;
-                gateway.relay_ended(at(now + 10), end(job, server, Outcome::Satisfied, took));
+                gateway.relay_ended(at(now + 10), end(job, server, Outcome::Succeeded, took));
             }
         }
         played
@@ -174,8 +178,11 @@
 #[test]
 fn a_costly_plan_waits_for_its_call_while_calls_are_rationed() {
     let (mut gateway, notes) = gateway(many(), 400);
-    let job =
-        |id, customer, plan| Arrival { customer, set_size: 150, ..arrival(id, 0, plan, 1.0, at(3_000)) };
+    let job = |id, customer, plan| Arrival {
+        customer,
+        gateway_set_size: 150,
+        ..arrival(id, 0, plan, 1.0, at(3_000))
+    };
     let added = |acts: Vec<Act>| {
         acts.into_iter().find_map(|act| if let Act::Add(name, _) = act { Some(name) } else { None })
     };
@@ -184,7 +191,7 @@
     gateway.job_arrived(at(2_011), job(20, 3, 1));
     let acts = notes.take();
     assert!(relays(&acts).is_empty() && !acts.contains(&Act::Dismiss(20)), "{acts:?}");
-    gateway.counted(at(2_012), first, Some(1.0), Outcome::Satisfied);
+    gateway.counter_replied(at(2_012), first, Some(1.0), Outcome::Succeeded);
     notes.take();
     // Its turn comes once the counter has rested; the total it brings back has room.
     let mut now = 2_012;
@@ -201,6 +208,6 @@
         now += 10;
         assert!(now < 2_500, "no call in time");
     };
-    gateway.counted(at(now + 2), name, Some(1.0), Outcome::Satisfied);
+    gateway.counter_replied(at(now + 2), name, Some(1.0), Outcome::Succeeded);
     assert_eq!(relays(&notes.take()).len(), 1);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,7 @@
     gateways: Vec<(Gateway<Notes>, Notes)>,
     jobs: BTreeMap<JobId, (usize, Taken)>,
     timers: Vec<(Moment, usize, u64)>,
-    calls: Vec<(usize, CountName)>,
+    calls: Vec<(usize, CounterKey)>,
     health: BTreeMap<ServerId, Health>,
     cold: Option<(ServerId, Moment)>,
     pushed: Vec<(Moment, f64)>,
@@ -37,7 +37,8 @@
 
 impl World {
     fn new(gateways: u32) -> Self {
-        let start = |own_index| gateway(Deployment { gateways, own_index, ..deployment() }, SERVERS);
+        let start =
+            |own_index| gateway(Deployment { gateway_count: gateways, own_index, ..deployment() }, SERVERS);
         let mut world = Self {
             gateways: (0..gateways).map(start).collect(),
             jobs: BTreeMap::new(),
@@ -77,16 +78,16 @@
         let (owner, job) = self.jobs.get_mut(&id).expect("a job that was taken");
         assert_eq!(*owner, index);
         assert!(!job.answered, "rule 1: relay after the final answer");
-        assert!(self.now + patience <= job.arrival.abandon, "rule 1: relay outlives its job");
+        assert!(self.now + patience <= job.arrival.abandon_at, "rule 1: relay outlives its job");
         assert_eq!(job.out, None, "two relays at once");
         assert_eq!(self.health[&server], Health::Ready, "rule 3");
         for &(before, sent) in &job.ran {
-            match deployment().bands[job.arrival.band].repeat {
-                Repeat::Pure => {}
-                Repeat::Effectful => panic!("rule 2: effectful job sent again"),
-                Repeat::Receipted(group, window) => {
+            match deployment().classes[job.arrival.class].repeat {
+                RepeatPolicy::Idempotent => {}
+                RepeatPolicy::NonIdempotent => panic!("rule 2: effectful job sent again"),
+                RepeatPolicy::Deduplicated(group, window) => {
                     assert!(self.now.since(sent) < window, "rule 2: repeat window");
-                    assert!(group == Group::All || before % 2 == server % 2, "rule 2: group");
+                    assert!(group == DedupScope::All || before % 2 == server % 2, "rule 2: group");
                 }
             }
         }
@@ -105,9 +106,9 @@
     fn finished(&mut self, index: usize, id: JobId, act: Act) {
         let (owner, job) = self.jobs.get_mut(&id).expect("a job that was taken");
         assert!(*owner == index && !job.answered, "rule 1: two final answers");
-        assert!(self.now <= job.arrival.abandon, "rule 1: late");
+        assert!(self.now <= job.arrival.abandon_at, "rule 1: late");
         job.answered = true;
-        let free = deployment().bands[job.arrival.band].repeat.is_free();
+        let free = deployment().classes[job.arrival.class].repeat.is_safe();
         let unrun = job.ran.is_empty() && job.out.is_none();
         assert!(act == Act::Forfeit(id) || free || unrun, "rule 2: dismissed though it may have run");
     }
@@ -118,7 +119,7 @@
         if !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent) {
             job.ran.push((server, sent));
         }
-        job.answered |= outcome == Outcome::Satisfied;
+        job.answered |= outcome == Outcome::Succeeded;
         let took = self.now.since(sent).micros() / 1_000;
         self.gateways[*index].0.relay_ended(self.now, end(id, server, outcome, took));
         self.note();
@@ -135,13 +136,14 @@
                 self.gateways[index].0.timer_fired(now, mark);
                 self.note();
             }
-            let over = |job: &Taken| job.out.is_some() && now + Span::from_millis(4) >= job.arrival.abandon;
+            let over =
+                |job: &Taken| job.out.is_some() && now + Span::from_millis(4) >= job.arrival.abandon_at;
             let late: Vec<JobId> =
                 self.jobs.iter().filter(|(_, job)| over(&job.1)).map(|(id, _)| *id).collect();
             late.into_iter().for_each(|id| self.end_relay(id, Outcome::TimedOut));
             for (_, job) in self.jobs.values() {
                 assert!(
-                    job.answered || now <= job.arrival.abandon,
+                    job.answered || now <= job.arrival.abandon_at,
                     "rule 1: no answer for {:?}",
                     job.arrival
                 );
@@ -159,9 +161,9 @@
         let list: Vec<_> = self.health.iter().map(|(id, health)| entry(*id, *health, started(*id))).collect();
         let notes = self.gateways[index].1.clone();
         let (gateways, own_index) = (self.gateways.len() as u32, index as u32);
-        let deployment = Deployment { gateways, own_index, ..deployment() };
+        let deployment = Deployment { gateway_count: gateways, own_index, ..deployment() };
         self.gateways[index].0 = Gateway::start(self.now, notes, deployment, self.lives);
-        self.gateways[index].0.roster_listed(self.now, list.into_iter());
+        self.gateways[index].0.roster_replaced(self.now, list.into_iter());
         self.note();
     }
 
@@ -182,7 +184,10 @@
                 let abandon = self.now + Span::from_millis(u64::from(40 + 20 * b));
                 let (band, plan) = ((a % 4) as usize, [0, 1, 2, 2][(b % 4) as usize]);
                 let set_size = self.gateways.len() as u32;
-                let arrival = Arrival { set_size, ..arrival(id, band, plan, f64::from(1 + a % 4), abandon) };
+                let arrival = Arrival {
+                    gateway_set_size: set_size,
+                    ..arrival(id, band, plan, f64::from(1 + a % 4), abandon)
+                };
                 let job = Taken { arrival, answered: false, out: None, relays: 0, ran: Vec::new() };
                 self.jobs.insert(id, (index, job));
                 self.gateways[index].0.job_arrived(self.now, arrival);
@@ -192,13 +197,13 @@
                 let out: Vec<JobId> =
                     self.jobs.iter().filter(|job| job.1 .1.out.is_some()).map(|job| *job.0).collect();
                 let fates = [
-                    Outcome::Satisfied,
-                    Outcome::Satisfied,
+                    Outcome::Succeeded,
+                    Outcome::Succeeded,
                     Outcome::Error,
                     Outcome::Full,
                     Outcome::TimedOut,
                 ];
-                let more = [Outcome::ConnectFailed, Outcome::Reset, Outcome::Withdrawn, Outcome::Satisfied];
+                let more = [Outcome::ConnectFailed, Outcome::Reset, Outcome::Cancelled, Outcome::Succeeded];
                 let outcome = *fates.iter().chain(&more).cycle().nth(b as usize).expect("a cycle has no end");
                 if let Some(id) = out.get(a as usize % out.len().max(1)) {
                     self.end_relay(*id, outcome);
@@ -209,12 +214,12 @@
                 let (total, outcome) = match b % 6 {
                     0 => (None, Outcome::TimedOut),
                     1 => (None, Outcome::Full),
-                    2 => (Some(0.0), Outcome::Satisfied),
-                    3 => (Some(-1e6), Outcome::Satisfied),
-                    4 => (Some(1e6), Outcome::Satisfied),
-                    _ => (Some(f64::from(a % 12)), Outcome::Satisfied),
+                    2 => (Some(0.0), Outcome::Succeeded),
+                    3 => (Some(-1e6), Outcome::Succeeded),
+                    4 => (Some(1e6), Outcome::Succeeded),
+                    _ => (Some(f64::from(a % 12)), Outcome::Succeeded),
                 };
-                self.gateways[index].0.counted(self.now, name, total, outcome);
+                self.gateways[index].0.counter_replied(self.now, name, total, outcome);
                 self.note();
             }
             13 if b < 8 => self.restart(index),
@@ -235,15 +240,15 @@
     /// Rule 4: no span gives a cold server more than the stated multiple of what it can do, were warm ones to
     /// carry no more than they are sent, but for one job a gateway.
     fn check_cold(&self, sent_warm: f64) {
-        let cold = deployment().cold;
+        let cold = deployment().cold_start;
         let Some((_, started)) = self.cold else { return };
         for &(from, _) in &self.pushed {
-            let to = from + cold.fall_span;
+            let to = from + cold.overload_window;
             let within = self.pushed.iter().filter(|push| push.0 >= from && push.0 <= to);
             let sum: f64 = within.map(|push| push.1).sum();
             let age = to.since(started).secs() / cold.warm_after.secs();
-            let warmth = (cold.share + (1.0 - cold.share) * age).min(1.0);
-            assert!(age > 1.0 || sum <= cold.fall_multiple * warmth * sent_warm + 8.0, "rule 4: {sum}");
+            let warmth = (cold.initial_share + (1.0 - cold.initial_share) * age).min(1.0);
+            assert!(age > 1.0 || sum <= cold.overload_multiple * warmth * sent_warm + 8.0, "rule 4: {sum}");
         }
     }
 }
