--- a/src/chance.rs
+++ b/src/chance.rs
@@ -1,30 +1,32 @@
-//! Chance and fixed rankings from the standard library's hasher.
+//! Hashes and pseudo-random numbers from the standard library's hasher.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-pub(crate) fn hashed(parts: &[u64]) -> u64 {
+/// Returns a hash of the numbers that is the same in every process of a build.
+pub(crate) fn hash_of(parts: &[u64]) -> u64 {
     let mut hasher = DefaultHasher::new();
     parts.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Draws that follow from the seed, the instance and how many came before.
-pub(crate) struct Chance {
+/// A pseudo-random sequence that is determined by the seed and the gateway's index.
+pub(crate) struct Random {
     seed: u64,
-    instance: u32,
-    drawn: u64,
+    gateway: u32,
+    count: u64,
 }
 
-impl Chance {
-    pub(crate) fn new(seed: u64, instance: u32) -> Self {
-        Self { seed, instance, drawn: 0 }
+impl Random {
+    /// Creates the sequence of one gateway.
+    pub(crate) fn new(seed: u64, gateway: u32) -> Self {
+        Self { seed, gateway, count: 0 }
     }
 
-    /// An even chance between 0 and 1.
+    /// Returns the next number, uniform in [0, 1).
     pub(crate) fn draw(&mut self) -> f64 {
-        self.drawn += 1;
-        let drawn = hashed(&[self.seed, u64::from(self.instance), self.drawn]);
-        (drawn >> 11) as f64 / (1u64 << 53) as f64
+        self.count += 1;
+        let hash = hash_of(&[self.seed, u64::from(self.gateway), self.count]);
+        (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,145 +1,149 @@
-//! The decisions of a gateway: create one with [`Gateway::start`] and report each event to it with the current
-//! time; it acts through its [`Host`]. The interface is in `host.rs`, the state it keeps in `state.rs`.
+//! The decisions of a gateway: create one with [`Gateway::start`] and report each event to it with the current time;
+//! it acts through its [`Host`]. Rules named below: (1) each job gets one final answer before its client gives up,
+//! (2) no job runs again against its repeat policy, (3) only ready servers get jobs, (4) no cold server is overloaded,
+//! (5) no customer exceeds its ceiling. The interface is in `host.rs`, the state in `state.rs`.
 
-use crate::chance::{hashed, Chance};
+use crate::chance::{hash_of, Random};
 use crate::host::{Arrival, CounterKey, CustomerId, Deployment, Host, JobId, Outcome, RosterEntry};
 use crate::host::{ConditionalAdd, Health, Plan, RelayEnd, ServerId, JOB_ID_LIMIT};
-use crate::state::{self, Ask, Counter, Customer, Fleet, Job, Level, Pool, Server, Stage, Step};
+use crate::state::{self, Bucket, Call, Counter, Customer, Fleet, Job, Pool, Server, Stage, Step};
 use crate::time::{Moment, Span};
 use fennelgauge_spread::{Candidate, RelayRate, RingPosition};
 use std::collections::BTreeMap;
 
-/// The lent room of all customers is pooled by this span; the design's window of about a second.
+/// Unused quota of all customers is lent in pools of this length.
 const POOL_WINDOW: Span = Span::from_millis(1_000);
-/// A pool is filled a window ahead and may be drawn from to the end of its own.
-const POOL_KEPT: Span = Span::from_millis(3_000);
-/// As long as a counter keeps names; three windows of any plan at least.
-const COUNTS_KEPT: Span = Span::from_millis(60_000);
-/// For so long after a call had to wait the gateways count among themselves, where they can.
-const SPARED: Span = Span::from_millis(2_000);
-/// Marks of timers: a job's is its id, which is below this; a customer's is its id above this.
-const CUSTOMER_MARK: u64 = JOB_ID_LIMIT;
-const CALLS_MARK: u64 = u64::MAX;
-const BACKLOG_MARK: u64 = u64::MAX - 1;
-/// Relays at a server, and calls, that all gateways begin with in all: what a small machine works on at once.
-const FEW: f64 = 12.0;
-/// Counts hold sums of rounded figures; less than this is no difference.
-const NOTHING: f64 = 0.01;
-/// Accrual: a silence of this many usual gaps is unusual; about 1 in 400 if gaps were exponential.
-const UNUSUAL: f64 = 6.0;
-/// Spans the mean of what a server carries, in seconds: some windows, less than a cold start.
-const CARRIED_OVER: f64 = 3.0;
-
-/// Where less than one at a time is allowed, how long to rest after one that took so long.
-fn rest(took: Span, bound: f64) -> Span {
-    took.times((1.0 / bound - 1.0).max(0.0))
+/// How long the counter keeps a pool: it is filled one window ahead and drawn from until its own window ends.
+const POOL_TTL: Span = Span::from_millis(3_000);
+/// How long the counter keeps a total; at least three windows of any plan.
+const COUNT_TTL: Span = Span::from_millis(60_000);
+/// How long after a call had to wait the gateways use peer counts, if they can.
+const PEER_COUNT_PERIOD: Span = Span::from_millis(2_000);
+/// Timer ids below this are job ids; from here on they are this plus a customer's id.
+const CUSTOMER_TIMERS: u64 = JOB_ID_LIMIT;
+const CALLS_TIMER: u64 = u64::MAX;
+const BACKLOG_TIMER: u64 = u64::MAX - 1;
+/// Initial limit of relays per server, and of counter calls, over all gateways: the load of a small machine.
+const START_LIMIT: f64 = 12.0;
+/// Totals are sums of rounded numbers; smaller differences are ignored.
+const EPSILON: f64 = 0.01;
+/// A silence of this many mean gaps makes a server suspect (1 in 400 by chance if gaps are exponential).
+const SUSPECT_GAPS: f64 = 6.0;
+/// Time constant of a server's mean throughput in seconds: several windows, but shorter than a cold start.
+const THROUGHPUT_MEAN_S: f64 = 3.0;
+
+/// Returns the pause after a call of length `took` that keeps `limit` calls in progress on average, if below 1.
+fn rest(took: Span, limit: f64) -> Span {
+    took.times((1.0 / limit - 1.0).max(0.0))
 }
 
+/// The decisions of one gateway, and what it knows of servers, customers and jobs.
 pub struct Gateway<H> {
+    /// Carries out the decisions.
     pub host: H,
     deployment: Deployment,
     now: Moment,
     started: Moment,
-    chance: Chance,
+    random: Random,
     servers: BTreeMap<ServerId, Server>,
     fleet: Fleet,
     customers: BTreeMap<CustomerId, Customer>,
     jobs: BTreeMap<JobId, Job>,
-    /// Who awaits a total by a name.
-    callers: BTreeMap<CounterKey, CustomerId>,
+    pending_calls: BTreeMap<CounterKey, CustomerId>,
     counter: Counter,
     pool: Pool,
 }
 
 impl Plan {
-    /// Half of what fills the burst, so that an unused window leaves the whole burst; a second at least.
-    /// A plan by relays out has no windows; its counts begin anew so that what a dead gateway held is let go.
+    /// Half the time that fills the burst, so that an unused window restores the whole burst; at least a second.
+    /// Concurrency plans have no refill; their counts restart regularly to drop what a crashed gateway held.
     fn window(&self) -> Span {
-        const ANEW: f64 = 10.0;
-        let length = if self.is_rate_limited() { self.burst / self.rate / 2.0 } else { ANEW };
-        Span::from_secs(length).clamp(POOL_WINDOW, COUNTS_KEPT.times(1.0 / 3.0))
+        const RESTART_S: f64 = 10.0;
+        let seconds = if self.is_rate_limited() { self.burst / self.rate / 2.0 } else { RESTART_S };
+        Span::from_secs(seconds).clamp(POOL_WINDOW, COUNT_TTL.times(1.0 / 3.0))
     }
 
-    fn in_window(&self) -> f64 {
+    fn units_per_window(&self) -> f64 {
         self.rate * self.window().secs()
     }
 
-    /// Units a second and at once. Relays out make room as answers come, so a cap on them is a pace as well.
-    fn pace(&self, usual: f64) -> (f64, f64) {
+    /// Returns units per second and at once. Answers free a concurrency quota, which makes it a rate as well.
+    fn rate_and_burst(&self, answer_s: f64) -> (f64, f64) {
         if self.is_rate_limited() {
             (self.rate, self.burst)
         } else {
-            (self.max_concurrent_relays / usual.max(0.001), self.max_concurrent_relays)
+            (self.max_concurrent_relays / answer_s.max(0.001), self.max_concurrent_relays)
         }
     }
 
-    /// A count that holds this much more also holds what the burst lacked at the window's start.
-    fn mark(&self) -> f64 {
-        // Far above what a window's jobs add up to, and little enough for seven digits to tell units apart.
-        const FAR: f64 = 256.0;
-        FAR * (self.burst + self.in_window())
+    /// Offset that is added to a total together with the burst deficit at the window's start, and so reveals it.
+    fn marker(&self) -> f64 {
+        // Far above the sum of a window's jobs, but small enough that seven digits still tell units apart.
+        const FACTOR: f64 = 256.0;
+        FACTOR * (self.burst + self.units_per_window())
     }
 }
 
 impl Server {
-    /// Slow or turned away, from any cause: it gets less, but is not cut twice for one backlog.
-    fn cut(&mut self, to: f64, now: Moment, apart: f64, least: f64) {
-        if now.since(self.cut).secs() > apart {
-            self.bound = (self.bound * to).max(least);
-            self.cut = now;
+    /// Lowers the limit, at most once per `interval_s`, so that one backlog does not lower it twice.
+    fn reduce_limit(&mut self, factor: f64, now: Moment, interval_s: f64, min_limit: f64) {
+        if now.since(self.last_cut).secs() > interval_s {
+            self.limit = (self.limit * factor).max(min_limit);
+            self.last_cut = now;
         }
     }
 
-    /// Silent for unusually long or failing more often than not, from any cause: crash, cut, bad build, hang.
-    fn unwell(&self, now: Moment, usual: f64) -> bool {
-        let silence = Span::from_secs(self.gap.max(usual / 2.0) * UNUSUAL);
-        self.failing > 0.5 || (self.out > 0.0 && now > self.heard + silence)
+    /// Returns whether the server is silent for unusually long or fails more often than not, whatever the cause.
+    fn is_suspect(&self, now: Moment, answer_s: f64) -> bool {
+        let max_silence = Span::from_secs(self.mean_gap_s.max(answer_s / 2.0) * SUSPECT_GAPS);
+        self.failure_share > 0.5 || (self.active > 0.0 && now > self.last_alive + max_silence)
     }
 }
 
 impl<H: Host> Gateway<H> {
+    /// Creates a gateway; `seed` determines its random choices.
     pub fn start(now: Moment, mut host: H, deployment: Deployment, seed: u64) -> Self {
         if deployment.subscribe_to_roster {
             host.subscribe_to_roster();
         }
         // Initial estimates: a fraction of the tightest target for answers, a few ticks for counter calls.
-        let target = deployment.classes.iter().map(|band| band.latency_target.secs()).fold(10.0, f64::min);
-        let usual = (deployment.tick.secs() * 4.0).max(0.005);
-        let bound = FEW / f64::from(deployment.gateway_count);
-        let pace = RelayRate::new(now.secs());
-        let mut fleet = Fleet { bound: bound / 2.0, spare: 5.0, pace, ..Fleet::default() };
-        (fleet.usual, fleet.units, fleet.calm, fleet.slow) = (target / 6.0, 1.0, 0.12, 0.12);
+        let target = deployment.classes.iter().map(|class| class.latency_target.secs()).fold(10.0, f64::min);
+        let call_s = (deployment.tick.secs() * 4.0).max(0.005);
+        let limit = START_LIMIT / f64::from(deployment.gateway_count);
+        let relay_rate = RelayRate::new(now.secs());
+        let mut fleet = Fleet { limit: limit / 2.0, retry_budget: 5.0, relay_rate, ..Fleet::default() };
+        (fleet.answer_s, fleet.mean_units, fleet.baseline, fleet.slowness) = (target / 6.0, 1.0, 0.12, 0.12);
         Self {
             host,
             now,
-            chance: Chance::new(seed, deployment.own_index),
-            counter: Counter { usual, bound, ..Counter::default() },
+            random: Random::new(seed, deployment.own_index),
+            counter: Counter { call_s, limit, ..Counter::default() },
             deployment,
             servers: BTreeMap::new(),
             fleet,
             customers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            callers: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             pool: Pool::default(),
             started: now,
         }
     }
 
+    /// Handles new or changed entries of the roster.
     pub fn roster_changed(&mut self, now: Moment, entries: impl Iterator<Item = RosterEntry>) {
         self.now = now;
-        // Where all are replaced at once none is warm, and the cold ones would get nothing: what the last
-        // warm ones carried stays known.
-        self.fleet.carried = self.carried().unwrap_or(self.fleet.carried);
+        // If all servers are replaced at once, none is warm; the last known throughput lets cold ones get jobs.
+        self.fleet.throughput = self.warm_throughput().unwrap_or(self.fleet.throughput);
         for mut entry in entries {
-            let (usual, bound) = (self.fleet.usual, FEW / f64::from(self.deployment.gateway_count));
-            // Rule 4: all gateways would send a cold server their first job at once: chance sets them apart.
-            let push = Level { amount: self.fleet.units * self.chance.draw(), at: now };
+            let limit = START_LIMIT / f64::from(self.deployment.gateway_count);
+            // Rule 4: a random initial load staggers the first jobs that all gateways send to a cold server.
+            let cold_load = Bucket { amount: self.fleet.mean_units * self.random.draw(), at: now };
             let server = self.servers.entry(entry.server).or_insert_with(|| Server {
                 entry,
-                bound,
-                heard: now,
-                gap: usual,
-                push,
+                limit,
+                last_alive: now,
+                mean_gap_s: self.fleet.answer_s,
+                cold_load,
                 ..Server::default()
             });
             if entry.health == Health::Gone {
@@ -147,768 +151,764 @@
                 continue;
             }
             if entry.started != server.entry.started {
-                (server.failing, server.push) = (0.0, push);
+                (server.failure_share, server.cold_load) = (0.0, cold_load);
             }
             entry.rating = if entry.rating > 0.0 { entry.rating } else { 1.0 };
             server.entry = entry;
         }
-        // Servers replaced without end, from any cause, would fill the memory and every ranking.
-        self.servers.retain(|_, server| !server.is_past(now, COUNTS_KEPT));
-        self.fleet.roster += 1;
-        // A fleet that shrinks, for any cause, must not get what the whole one could bear.
-        self.fleet.ready = self.servers.values().filter(|server| server.ready()).count() as f64;
-        self.work_off();
+        // Servers that are replaced again and again would fill the memory and every ranking.
+        self.servers.retain(|_, server| !server.can_be_dropped(now, COUNT_TTL));
+        self.fleet.version += 1;
+        // A fleet that shrinks must not get the load of the whole one.
+        self.fleet.ready = self.servers.values().filter(|server| server.is_ready()).count() as f64;
+        self.retry_backlog();
     }
 
-    /// The whole roster; a server that it lacks is gone.
+    /// Handles a new complete roster; servers missing from it are gone.
     pub fn roster_replaced(&mut self, now: Moment, entries: impl Iterator<Item = RosterEntry>) {
-        self.fleet.carried = self.carried().unwrap_or(self.fleet.carried);
+        self.fleet.throughput = self.warm_throughput().unwrap_or(self.fleet.throughput);
         self.servers.values_mut().for_each(|server| server.entry.health = Health::Gone);
         self.roster_changed(now, entries);
     }
 
+    /// Handles a job that has just arrived.
     pub fn job_arrived(&mut self, now: Moment, arrival: Arrival) {
         self.now = now;
         let (id, set_size) = (arrival.job, f64::from(arrival.gateway_set_size.max(1)));
         let (bands, plans) = (&self.deployment.classes, &self.deployment.plans);
-        let (Some(band), Some(plan)) = (bands.get(arrival.class), plans.get(arrival.plan)) else {
+        let (Some(class), Some(plan)) = (bands.get(arrival.class), plans.get(arrival.plan)) else {
             return self.host.fail(id);
         };
-        let (target, limited, cost) = (now + band.latency_target, plan.has_quota(), plan.cost(&arrival));
-        // Rule 5: an equal share of the ceiling is safe whatever others do; a little less for rounding. After
-        // a restart it may be spent already, so it fills from then on.
+        let (target, has_quota, cost) = (now + class.latency_target, plan.has_quota(), plan.cost(&arrival));
+        // Rule 5: an equal share (0.999 for rounding) is safe whatever others do; assume it spent before a restart.
         let share = 0.999 / set_size;
-        let ceiling = plan.ceiling.map(|it| (it.rate * share, (it.burst + it.slack) * share));
-        let spent = Level { amount: ceiling.map_or(0.0, |it| it.1), at: self.started };
+        let ceiling = plan.ceiling.map(|limit| (limit.rate * share, (limit.burst + limit.slack) * share));
+        let spent = Bucket { amount: ceiling.map_or(0.0, |limit| limit.1), at: self.started };
         // An unbounded number of customer ids would exhaust the memory of a long-running gateway.
-        state::let_go(&mut self.customers, arrival.customer, now, COUNTS_KEPT);
-        let fresh = || Customer { spent, ..Customer::default() };
-        let customer = self.customers.entry(arrival.customer).or_insert_with(fresh);
-        // Customers change their plans, and are served by other gateways: the latest job tells.
+        state::drop_idle_customers(&mut self.customers, arrival.customer, now, COUNT_TTL);
+        let new_customer = || Customer { spent, ..Customer::default() };
+        let customer = self.customers.entry(arrival.customer).or_insert_with(new_customer);
+        // Customers change plans and are also served by other gateways, so the latest job's data applies.
         (customer.plan, customer.ceiling) = (arrival.plan, ceiling);
-        (customer.set_first, customer.set_size) = (arrival.first_gateway, set_size);
-        customer.until = customer.until.max(arrival.abandon_at);
-        customer.waiting.extend(limited.then_some(id));
-        let stage = if limited { Stage::Held } else { Stage::Cleared };
+        (customer.first_gateway, customer.set_size) = (arrival.first_gateway, set_size);
+        customer.active_until = customer.active_until.max(arrival.abandon_at);
+        customer.held_jobs.extend(has_quota.then_some(id));
+        let stage = if has_quota { Stage::Held } else { Stage::Admitted };
         let job = Job { arrival, cost, stage, target, relays: 0, server: 0, may_have_run: None };
-        let latest = self.latest(&job);
+        let deadline = self.relay_deadline(&job);
         self.jobs.insert(id, job);
-        if latest <= now {
+        if deadline <= now {
             return self.give_up(id, None);
         }
-        self.host.set_timer(latest.since(now), id);
-        if limited {
-            self.ask(arrival.customer);
+        self.host.set_timer(deadline.since(now), id);
+        if has_quota {
+            self.request_units(arrival.customer);
         } else {
             self.dispatch(id);
         }
     }
 
-    /// When a relay must go out at the latest to be answered by its target time.
-    fn latest(&self, job: &Job) -> Moment {
-        // Answers take longer than usual as often as not: three times as long leaves nearly all in time.
+    /// Returns the latest time to send a relay that is probably answered by the job's target time.
+    fn relay_deadline(&self, job: &Job) -> Moment {
+        // Half of all answers take longer than the mean; three times the mean covers nearly all.
         const SLACK: f64 = 3.0;
-        let by = job.target.min(job.arrival.abandon_at - self.deployment.tick - self.deployment.tick);
-        // At most half the target time: else answers slow for any cause would end all relays, and all news.
-        let most = self.deployment.classes[job.arrival.class].latency_target.times(0.5);
-        by - Span::from_secs(self.fleet.usual * SLACK).min(most)
+        let latest = job.target.min(job.arrival.abandon_at - self.deployment.tick - self.deployment.tick);
+        // At most half the target: otherwise slow answers would end all relays, and with them all measurements.
+        let max_slack = self.deployment.classes[job.arrival.class].latency_target.times(0.5);
+        latest - Span::from_secs(self.fleet.answer_s * SLACK).min(max_slack)
     }
 
     fn held(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id).filter(|job| job.stage == Stage::Held)
     }
 
-    /// When a customer's allowance reaches a total. The window's units come in evenly, as use before that is
-    /// beyond the quota. Half of the burst is there at first, or what the count itself tells was left of it.
-    fn turn(&self, customer: &Customer, total: f64) -> Moment {
+    /// Returns when the customer's quota covers a total. Units accrue evenly over the window, as earlier use is beyond
+    /// the quota; half of the burst is available at its start, or what a total with the marker says is left.
+    fn grant_time(&self, customer: &Customer, total: f64) -> Moment {
         let plan = &self.deployment.plans[customer.plan];
-        let (rate, burst) = plan.pace(self.fleet.usual);
+        let (rate, burst) = plan.rate_and_burst(self.fleet.answer_s);
         if !plan.is_rate_limited() {
             return self.now + Span::from_secs((total - burst) / rate);
         }
-        let at_first = if total >= plan.mark() { plan.mark() + burst } else { burst / 2.0 };
-        customer.began + Span::from_secs((total - at_first) / rate)
+        let initial = if total >= plan.marker() { plan.marker() + burst } else { burst / 2.0 };
+        customer.window_start + Span::from_secs((total - initial) / rate)
     }
 
-    /// Brings a customer's records into the present window; all gateways come to the same by the clock.
-    fn roll(&mut self, id: CustomerId) {
+    /// Moves a customer's state to the current window, which all gateways derive from the clock.
+    fn enter_window(&mut self, id: CustomerId) {
         let Some(customer) = self.customers.get_mut(&id) else { return };
         let plan = &self.deployment.plans[customer.plan];
         let length = plan.window().micros();
-        // Windows of different customers begin at different times, so that held jobs don't come in herds.
-        let phase = hashed(&[id]) % length;
+        // Windows of different customers start at different times, so that held jobs are not granted all at once.
+        let phase = hash_of(&[id]) % length;
         let window = self.now.micros().saturating_add(phase) / length;
         if customer.window == window {
             return;
         }
         let follows = customer.window.wrapping_add(1) == window;
-        let heard = if follows { customer.total } else { 0.0 };
-        customer.unused = (plan.in_window() - heard).max(0.0);
-        // What was judged alone and not told goes to the next window's count; relays out outlast windows.
+        let last_total = if follows { customer.total } else { 0.0 };
+        customer.last_unused = (plan.units_per_window() - last_total).max(0.0);
+        // Unreported local use moves to the next window's total; relays in progress outlast windows.
         if plan.is_rate_limited() {
-            let told = customer.told.max(customer.told_among);
-            let told = told + customer.ask.as_ref().map_or(0.0, |ask| ask.amount);
-            // Older debt shrinks by a window's refill: carried whole it would reject all jobs forever (no job, no call).
-            let untold = if follows { (customer.used - told).max(0.0) } else { 0.0 };
-            let before = customer.owed.min(untold);
-            customer.used = untold - before.min(plan.in_window());
-            customer.owed = customer.used;
-        }
-        (customer.told, customer.told_among, customer.total) = (0.0, 0.0, 0.0);
+            let reported = customer.reported.max(customer.reported_to_peers);
+            let reported = reported + customer.call.as_ref().map_or(0.0, |call| call.amount);
+            // Older debt shrinks by a window's refill: kept whole, it could reject all jobs, and only jobs report it.
+            let unreported = if follows { (customer.used - reported).max(0.0) } else { 0.0 };
+            let debt = customer.older_debt.min(unreported);
+            customer.used = unreported - debt.min(plan.units_per_window());
+            customer.older_debt = customer.used;
+        }
+        (customer.reported, customer.reported_to_peers, customer.total) = (0.0, 0.0, 0.0);
         customer.window = window;
-        customer.began = Moment::from_micros(window.saturating_mul(length).saturating_sub(phase));
+        customer.window_start = Moment::from_micros(window.saturating_mul(length).saturating_sub(phase));
     }
 
-    /// Carries the units of a customer's held jobs to its count, one call at a time.
-    fn ask(&mut self, id: CustomerId) {
-        self.roll(id);
+    /// Requests units for a customer's held jobs from its total, one call at a time.
+    fn request_units(&mut self, id: CustomerId) {
+        self.enter_window(id);
         if !self.deployment.has_counter {
-            self.judge_alone(id, false);
-            if self.customers.get(&id).is_some_and(|customer| !customer.waiting.is_empty()) {
-                self.host.set_timer(Span::from_secs(self.fleet.usual), CUSTOMER_MARK + id);
+            self.grant_locally(id, false);
+            if self.customers.get(&id).is_some_and(|customer| !customer.held_jobs.is_empty()) {
+                self.host.set_timer(Span::from_secs(self.fleet.answer_s), CUSTOMER_TIMERS + id);
             }
             return;
         }
-        let may_call = self.may_call();
+        let may_call = self.can_call();
         if !may_call {
-            self.counter.spared = self.now + SPARED;
-        }
-        let spared = self.now < self.counter.spared;
-        let Some(customer) = self.customers.get_mut(&id).filter(|known| known.ask.is_none()) else { return };
-        // A soft plan's jobs all go without a count; an ask for them would only cost.
-        let among =
-            spared && !self.deployment.plans[customer.plan].free_overage() && self.host.peers_can_count();
-        let (window, untold) = (customer.window, customer.used - *customer.told(among));
+            self.counter.use_peers_until = self.now + PEER_COUNT_PERIOD;
+        }
+        let use_peers = self.now < self.counter.use_peers_until;
+        let Some(customer) = self.customers.get_mut(&id).filter(|known| known.call.is_none()) else { return };
+        // Jobs with free overage are granted without a total, so a peer call for them is a waste.
+        let to_peers =
+            use_peers && !self.deployment.plans[customer.plan].free_overage() && self.host.peers_can_count();
+        let (window, unreported) = (customer.window, customer.used - *customer.reported(to_peers));
         let Some(customer) = self.customers.get(&id) else { return };
-        let most = self.deployment.plans[customer.plan].pace(self.fleet.usual).1;
-        let (mut asked, mut jobs, mut vain) = (0.0, Vec::new(), Vec::new());
-        for job in customer.waiting.iter().filter_map(|job| self.held(*job)) {
-            let total = customer.total + untold + asked + job.cost;
-            let turn = self.turn(customer, total).max(customer.shut);
-            if turn > self.latest(job) {
-                vain.push((job.arrival.job, turn));
-            } else if self.now >= customer.shut && (asked <= 0.0 || asked + job.cost <= most) {
-                asked += job.cost;
+        let burst = self.deployment.plans[customer.plan].rate_and_burst(self.fleet.answer_s).1;
+        let (mut requested, mut jobs, mut too_late) = (0.0, Vec::new(), Vec::new());
+        for job in customer.held_jobs.iter().filter_map(|job| self.held(*job)) {
+            let total = customer.total + unreported + requested + job.cost;
+            let grant_at = self.grant_time(customer, total).max(customer.next_call);
+            if grant_at > self.relay_deadline(job) {
+                too_late.push((job.arrival.job, grant_at));
+            } else if self.now >= customer.next_call && (requested <= 0.0 || requested + job.cost <= burst) {
+                requested += job.cost;
                 jobs.push((job.arrival.job, job.cost));
             }
         }
-        self.turn_away(vain);
-        // What was asked for and not used is taken back even when shut: else other gateways see no room.
-        let amount = untold + asked;
-        if jobs.is_empty() && amount > -NOTHING {
+        self.pool_or_reject(too_late);
+        // Unused units are given back even while no jobs may ask; other gateways would see no room otherwise.
+        let amount = unreported + requested;
+        if jobs.is_empty() && amount > -EPSILON {
             return;
         }
-        let benefit = jobs.iter().filter_map(|job| self.jobs.get(&job.0)).map(|job| self.place(job).0).max();
+        let benefit = jobs.iter().filter_map(|job| self.jobs.get(&job.0)).map(|job| self.rank(job).0).max();
         let Some(customer) = self.customers.get_mut(&id) else { return };
-        // A counter slow, full or silent, from any cause, must not drown in calls: past a bound they wait and
-        // the jobs are counted among the gateways or, where these can't, judged alone meanwhile.
-        if among || may_call {
-            customer.ask = Some(Ask { jobs, amount, window, step: Step::Count, sent: self.now, among });
-            return self.call(id, window, amount, among.then_some(asked));
+        // A slow or failing counter must not be flooded: calls above the limit wait, peers or local shares step in.
+        if to_peers || may_call {
+            customer.call = Some(Call { jobs, amount, window, step: Step::Add, sent: self.now, to_peers });
+            return self.send_call(id, window, amount, to_peers.then_some(requested));
         }
         if !std::mem::replace(&mut customer.queued, true) {
             self.counter.queue.insert((benefit.unwrap_or(0), self.now, id));
-            self.host.set_timer(self.counter.rested.since(self.now), CALLS_MARK);
+            self.host.set_timer(self.counter.rest_until.since(self.now), CALLS_TIMER);
         }
-        self.judge_alone(id, true);
+        self.grant_locally(id, true);
     }
 
-    fn may_call(&self) -> bool {
-        self.counter.out < self.counter.bound.max(1.0) && self.now >= self.counter.rested
+    fn can_call(&self) -> bool {
+        self.counter.active < self.counter.limit.max(1.0) && self.now >= self.counter.rest_until
     }
 
-    /// Adds to a count; `among` is for the gateways' own, and how much of the amount they may refuse.
-    fn call(&mut self, id: CustomerId, window: u64, amount: f64, among: Option<f64>) {
-        let name = hashed(&[id, window, 0]);
-        self.callers.insert(name, id);
-        if let Some(asked) = among {
-            let wanted = self.wanted(id, asked).unwrap_or_default();
-            return self.host.add_to_peer_count(name, amount - asked, wanted);
+    /// Adds to a total, by the peer count if `to_peers` is given: the part of the amount that it may refuse.
+    fn send_call(&mut self, id: CustomerId, window: u64, amount: f64, to_peers: Option<f64>) {
+        let key = hash_of(&[id, window, 0]);
+        self.pending_calls.insert(key, id);
+        if let Some(requested) = to_peers {
+            let conditional = self.conditional_add(id, requested).unwrap_or_default();
+            return self.host.add_to_peer_count(key, amount - requested, conditional);
         }
         let counter = &mut self.counter;
-        counter.out += 1.0;
-        // With many gateways one call at a time of each is too many: it rests between calls.
-        counter.rested = self.now.max(counter.rested) + rest(Span::from_secs(counter.usual), counter.bound);
-        self.host.add_to_counter(name, amount, COUNTS_KEPT);
+        counter.active += 1.0;
+        // Even one call at a time per gateway may be too many, so each gateway pauses between calls.
+        counter.rest_until =
+            self.now.max(counter.rest_until) + rest(Span::from_secs(counter.call_s), counter.limit);
+        self.host.add_to_counter(key, amount, COUNT_TTL);
     }
 
-    /// A total came back, or word that none will.
-    pub fn counter_replied(&mut self, now: Moment, name: CounterKey, total: Option<f64>, outcome: Outcome) {
+    /// Handles the reply to a counter call: the new total, or `None` if the call failed.
+    pub fn counter_replied(&mut self, now: Moment, key: CounterKey, total: Option<f64>, outcome: Outcome) {
         self.now = now;
-        if self.pool.draw.as_ref().is_some_and(|draw| draw.0 == name) {
-            return self.drawn(total);
-        }
-        let Some(id) = self.callers.remove(&name) else { return };
-        // One call in some twenty fails by these steps where the counter is the narrowest place. Up to what
-        // it bore before failures in a row they are big: else an outage would keep calls away for minutes.
-        let (bound, counter) = (self.counter.bound, &mut self.counter);
-        counter.out -= 1.0;
-        counter.bound = match total {
-            Some(_) if bound < counter.borne => (bound * 2.0).min(counter.borne),
-            Some(_) => bound + (0.1 / bound).min(bound * 0.02),
-            None => (bound * 0.7).max(0.01),
+        if self.pool.pending_draw.as_ref().is_some_and(|draw| draw.0 == key) {
+            return self.pool_draw_replied(total);
+        }
+        let Some(id) = self.pending_calls.remove(&key) else { return };
+        // With these steps 1 call in 20 fails while the counter is the bottleneck. They are large up to the limit before
+        // a run of failures; otherwise calls would stay rare for minutes after an outage.
+        let (limit, counter) = (self.counter.limit, &mut self.counter);
+        counter.active -= 1.0;
+        counter.limit = match total {
+            Some(_) if limit < counter.stable_limit => (limit * 2.0).min(counter.stable_limit),
+            Some(_) => limit + (0.1 / limit).min(limit * 0.02),
+            None => (limit * 0.7).max(0.01),
         };
-        let first = std::mem::replace(&mut counter.answers, total.is_some()) && total.is_none();
-        counter.borne = if first { counter.bound } else { counter.borne };
-        self.roll(id);
-        self.answered(id, total, outcome);
-        self.serve_callers();
+        let first_failure = std::mem::replace(&mut counter.last_answered, total.is_some()) && total.is_none();
+        counter.stable_limit = if first_failure { counter.limit } else { counter.stable_limit };
+        self.enter_window(id);
+        self.process_reply(id, total, outcome);
+        self.serve_call_queue();
     }
 
-    /// The conditional part of a peer add: within what is free by now. One add passes half of the burst: that one goes.
-    fn wanted(&self, id: CustomerId, amount: f64) -> Option<ConditionalAdd> {
+    /// Returns the part of an add that must fit what has accrued. The one add that crosses half the burst always fits.
+    fn conditional_add(&self, id: CustomerId, amount: f64) -> Option<ConditionalAdd> {
         let customer = self.customers.get(&id).filter(|_| amount > 0.0)?;
         let plan = &self.deployment.plans[customer.plan];
-        let came = plan.rate * self.now.since(customer.began).secs();
+        let refill = plan.rate * self.now.since(customer.window_start).secs();
         if !plan.is_rate_limited() {
             let max_total = plan.max_concurrent_relays - 1.0;
             return Some(ConditionalAdd { amount, max_total, max_with_deficit: max_total });
         }
-        let (max_total, max_with_deficit) = (plan.burst / 2.0 + came, plan.mark() + plan.burst + came);
+        let (max_total, max_with_deficit) = (plan.burst / 2.0 + refill, plan.marker() + plan.burst + refill);
         Some(ConditionalAdd { amount, max_total, max_with_deficit })
     }
 
     /// Handles a peer count's reply (total, and whether the conditional part was added), or `None` if none will come.
-    pub fn peer_count_replied(&mut self, now: Moment, name: CounterKey, outcome: Option<(f64, bool)>) {
+    pub fn peer_count_replied(&mut self, now: Moment, key: CounterKey, reply: Option<(f64, bool)>) {
         self.now = now;
-        let Some(id) = self.callers.remove(&name) else { return };
-        if let (Some((_, false)), Some(customer)) = (outcome, self.customers.get_mut(&id)) {
-            let refused = |ask: &mut Ask| ask.amount -= ask.jobs.iter().map(|job| job.1).sum::<f64>();
-            customer.ask.iter_mut().filter(|ask| matches!(ask.step, Step::Count)).for_each(refused);
+        let Some(id) = self.pending_calls.remove(&key) else { return };
+        if let (Some((_, false)), Some(customer)) = (reply, self.customers.get_mut(&id)) {
+            let subtract = |call: &mut Call| call.amount -= call.jobs.iter().map(|job| job.1).sum::<f64>();
+            customer.call.iter_mut().filter(|call| matches!(call.step, Step::Add)).for_each(subtract);
         }
-        self.roll(id);
-        // Unanswered, it goes on with the next sum, so that it counts as told.
-        self.answered(id, outcome.map(|it| it.0), Outcome::TimedOut);
+        self.enter_window(id);
+        // Without a reply the peers add the amount along with the next one, so it counts as reported.
+        self.process_reply(id, reply.map(|reply| reply.0), Outcome::TimedOut);
     }
 
-    /// Lets customers that wait for a call have it, as far as calls may be made.
-    fn serve_callers(&mut self) {
-        while self.may_call() {
+    fn serve_call_queue(&mut self) {
+        while self.can_call() {
             let Some((.., next)) = self.counter.queue.pop_last() else { return };
             self.customers.entry(next).and_modify(|customer| customer.queued = false);
-            self.ask(next);
+            self.request_units(next);
         }
-        if !self.counter.queue.is_empty() && self.counter.out < self.counter.bound.max(1.0) {
-            self.host.set_timer(self.counter.rested.since(self.now), CALLS_MARK);
+        if !self.counter.queue.is_empty() && self.counter.active < self.counter.limit.max(1.0) {
+            self.host.set_timer(self.counter.rest_until.since(self.now), CALLS_TIMER);
         }
     }
 
-    fn answered(&mut self, id: CustomerId, total: Option<f64>, outcome: Outcome) {
+    fn process_reply(&mut self, id: CustomerId, total: Option<f64>, outcome: Outcome) {
         let Some(customer) = self.customers.get_mut(&id) else { return };
         let plan = &self.deployment.plans[customer.plan];
-        let Some(mut ask) = customer.ask.take() else { return };
-        if ask.window != customer.window {
-            return self.ask(id);
-        }
-        let (mark, half, window, among) = (plan.mark(), plan.burst / 2.0, ask.window, ask.among);
-        match (ask.step, total) {
-            (Step::Count, None) => {
-                // What may have been added counts as added: the count then says too little, never too much.
-                *customer.told(among) += if outcome == Outcome::TimedOut { ask.amount } else { 0.0 };
-                // Asked for again at once, jobs would stall a time-out each, and calls crowd what is slow.
-                self.judge_alone(id, false);
-                self.ask(id);
+        let Some(mut call) = customer.call.take() else { return };
+        if call.window != customer.window {
+            return self.request_units(id);
+        }
+        let (marker, half, window, to_peers) = (plan.marker(), plan.burst / 2.0, call.window, call.to_peers);
+        match (call.step, total) {
+            (Step::Add, None) => {
+                // A timed-out add may have been applied and counts as reported: totals may be too low, never too high.
+                *customer.reported(to_peers) += if outcome == Outcome::TimedOut { call.amount } else { 0.0 };
+                // Jobs that ask again at once would wait for one time-out after another and crowd a slow counter.
+                self.grant_locally(id, false);
+                self.request_units(id);
             }
-            (Step::Count, Some(total)) => {
-                *customer.told(among) += ask.amount;
-                let (before, by_rate) = (total - ask.amount, plan.is_rate_limited());
-                // A pause of this gateway looks like a slow call: four times as long as usual tells enough.
-                let took = self.now.since(ask.sent).secs().min(self.counter.usual * 4.0);
-                self.counter.usual += if among { 0.0 } else { 0.05 * (took - self.counter.usual) };
-                // The first gateway into the window lends of what the last one left.
-                let shortfall = if by_rate && before <= NOTHING { customer.unused } else { 0.0 };
-                // Just one call takes the count past what is granted unseen: it looks the last window up, and
-                // adds for all what the burst lacks at the start of this one.
-                if by_rate && total < mark && total > half && before <= half {
-                    ask.step = Step::LookUp(total);
-                    customer.ask = Some(ask);
-                    self.call(id, window.wrapping_sub(1), 0.0, among.then_some(0.0));
+            (Step::Add, Some(total)) => {
+                *customer.reported(to_peers) += call.amount;
+                let (before, by_rate) = (total - call.amount, plan.is_rate_limited());
+                // A pause of this gateway looks like a slow call; the cap at four times the mean limits its effect.
+                let took = self.now.since(call.sent).secs().min(self.counter.call_s * 4.0);
+                self.counter.call_s += if to_peers { 0.0 } else { 0.05 * (took - self.counter.call_s) };
+                // The first gateway to call in a window lends what the last window left unused.
+                let unused = if by_rate && before <= EPSILON { customer.last_unused } else { 0.0 };
+                // Exactly one call crosses half the burst, which is granted without looking back: it reads the last window
+                // and adds the burst deficit at the start of this window for all gateways.
+                if by_rate && total < marker && total > half && before <= half {
+                    call.step = Step::ReadLastWindow(total);
+                    customer.call = Some(call);
+                    self.send_call(id, window.wrapping_sub(1), 0.0, to_peers.then_some(0.0));
                 } else {
-                    self.settle(id, ask, total);
+                    self.decide(id, call, total);
                 }
-                self.lend(shortfall);
+                self.lend(unused);
             }
-            (Step::LookUp(counted), total) => {
-                // Of a window that none was told of, what it used stands for those before it.
+            (Step::ReadLastWindow(counted), total) => {
+                // Without a marker, the use in the last window stands in for the windows before it.
                 let last = total.unwrap_or(0.0);
-                let lacked = if last >= mark { last - mark - plan.in_window() } else { last };
-                let lacked = mark + lacked.clamp(0.0, plan.burst.max(0.0));
-                ask.step = Step::Tell(counted + lacked);
-                customer.ask = Some(ask);
-                self.call(id, window, lacked, among.then_some(0.0));
+                let deficit = if last >= marker { last - marker - plan.units_per_window() } else { last };
+                let deficit = marker + deficit.clamp(0.0, plan.burst.max(0.0));
+                call.step = Step::AddDeficit(counted + deficit);
+                customer.call = Some(call);
+                self.send_call(id, window, deficit, to_peers.then_some(0.0));
             }
-            (Step::Tell(counted), _) => self.settle(id, ask, counted),
+            (Step::AddDeficit(counted), _) => self.decide(id, call, counted),
         }
     }
 
-    /// Tells the jobs that asked when their turn comes, in their order; those too late for it are let go.
-    fn settle(&mut self, id: CustomerId, ask: Ask, total: f64) {
+    /// Grants the jobs of a call in their order as far as units have accrued; rejects those that would be too late.
+    fn decide(&mut self, id: CustomerId, call: Call, total: f64) {
         let Some(customer) = self.customers.get(&id) else { return };
         let plan = &self.deployment.plans[customer.plan];
-        let asked: f64 = ask.jobs.iter().map(|job| job.1).sum();
-        let (mut ready, mut vain, mut late, mut position) = (Vec::new(), Vec::new(), false, total - asked);
-        for &(job, cost) in &ask.jobs {
+        let requested: f64 = call.jobs.iter().map(|job| job.1).sum();
+        let (mut ready, mut too_late, mut wait, mut sum) = (Vec::new(), Vec::new(), false, total - requested);
+        for &(job, cost) in &call.jobs {
             let Some(held) = self.held(job) else { continue };
-            let turn = self.turn(customer, position + cost);
-            if turn <= self.now {
-                position += cost;
+            let grant_at = self.grant_time(customer, sum + cost);
+            if grant_at <= self.now {
+                sum += cost;
                 ready.push((job, cost));
-            } else if turn > self.latest(held) {
-                vain.push((job, turn));
+            } else if grant_at > self.relay_deadline(held) {
+                too_late.push((job, grant_at));
             } else {
-                late = true;
+                wait = true;
             }
         }
-        // Asks in vain cost calls: they come the more seldom, down to the even part of what comes in.
-        let even = asked.max(1.0) / plan.pace(self.fleet.usual).0;
+        // Vain calls back off: from the time that refills the units asked for, up to that of an equal share.
+        let min_s = requested.max(1.0) / plan.rate_and_burst(self.fleet.answer_s).0;
         let Some(customer) = self.customers.get_mut(&id) else { return };
         customer.total = total;
-        if late || (ready.is_empty() && !vain.is_empty()) {
-            customer.apart =
-                (customer.apart * 2.0).clamp(even, even * customer.set_size).min(plan.window().secs());
-            customer.shut = self.now + Span::from_secs(customer.apart * (0.5 + self.chance.draw()));
-            self.host.set_timer(customer.shut.since(self.now), CUSTOMER_MARK + id);
+        if wait || (ready.is_empty() && !too_late.is_empty()) {
+            customer.interval_s =
+                (customer.interval_s * 2.0).clamp(min_s, min_s * customer.set_size).min(plan.window().secs());
+            customer.next_call = self.now + Span::from_secs(customer.interval_s * (0.5 + self.random.draw()));
+            self.host.set_timer(customer.next_call.since(self.now), CUSTOMER_TIMERS + id);
         } else if !ready.is_empty() {
-            customer.apart /= 2.0;
+            customer.interval_s /= 2.0;
         }
         self.grant(id, ready);
-        self.turn_away(vain);
-        self.ask(id);
+        self.pool_or_reject(too_late);
+        self.request_units(id);
     }
 
-    /// Jobs whose turn would come too late: soft plans draw on the present pool by an add, the others go now.
-    fn turn_away(&mut self, vain: Vec<(JobId, Moment)>) {
-        let open = self.pool.draw.is_none() && self.now >= self.fleet.pressed_until;
+    /// Handles jobs whose units accrue too late: those with free overage draw on the pool, others are rejected.
+    fn pool_or_reject(&mut self, too_late: Vec<(JobId, Moment)>) {
+        let may_draw = self.pool.pending_draw.is_none() && self.now >= self.fleet.saturated_until;
         let (mut units, mut jobs) = (0.0, Vec::new());
-        for (id, turn) in vain {
-            // A place that another's end made free may have gone to it meanwhile.
-            let Some(job) = self.jobs.get_mut(&id).filter(|job| job.ungranted()) else { continue };
-            if open && self.deployment.plans[job.arrival.plan].free_overage() {
+        for (id, grant_at) in too_late {
+            // A rejection frees units that may have gone to this job in the meantime.
+            let Some(job) = self.jobs.get_mut(&id).filter(|job| job.awaits_grant()) else { continue };
+            if may_draw && self.deployment.plans[job.arrival.plan].free_overage() {
                 job.stage = Stage::Drawing;
                 units += job.cost;
                 jobs.push(id);
             } else {
-                self.give_up(id, Some(turn.since(self.now)));
+                self.give_up(id, Some(grant_at.since(self.now)));
             }
         }
         if units > 0.0 {
-            let name = self.pool_name(0);
-            self.pool.draw = Some((name, units, jobs));
-            self.host.add_to_counter(name, -units, POOL_KEPT);
+            let key = self.pool_key(0);
+            self.pool.pending_draw = Some((key, units, jobs));
+            self.host.add_to_counter(key, -units, POOL_TTL);
         }
     }
 
-    fn pool_name(&self, ahead: u64) -> CounterKey {
-        hashed(&[self.now.micros() / POOL_WINDOW.micros() + ahead, 1])
+    fn pool_key(&self, ahead: u64) -> CounterKey {
+        hash_of(&[self.now.micros() / POOL_WINDOW.micros() + ahead, 1])
     }
 
-    fn drawn(&mut self, total: Option<f64>) {
-        let Some((_, units, jobs)) = self.pool.draw.take() else { return };
+    fn pool_draw_replied(&mut self, total: Option<f64>) {
+        let Some((_, units, jobs)) = self.pool.pending_draw.take() else { return };
         let mut room = total.map_or(0.0, |total| units + total.min(0.0));
         for id in jobs {
             let Some(job) = self.jobs.get(&id).filter(|job| job.stage == Stage::Drawing) else { continue };
             if job.cost <= room {
                 room -= job.cost;
-                self.clear(id);
+                self.admit(id);
             } else {
                 self.give_up(id, None);
             }
         }
     }
 
-    /// Lends half of a customer's shortfall in the last window to the next pool. Sixteen gateways add in a
-    /// pool window, each as seldom as it takes: else these calls alone would crowd a counter of many.
-    fn lend(&mut self, shortfall: f64) {
-        // Lent room must not reach a pressed back end.
-        if self.now < self.fleet.pressed_until || !self.deployment.plans.iter().any(Plan::free_overage) {
+    /// Lends half of the units that a customer left unused in the last window to the next pool. About sixteen gateways
+    /// lend per pool window; in a large deployment these calls alone would crowd the counter otherwise.
+    fn lend(&mut self, unused: f64) {
+        // Lent units must not add load while servers are saturated.
+        if self.now < self.fleet.saturated_until || !self.deployment.plans.iter().any(Plan::free_overage) {
             return;
         }
-        self.pool.lent += shortfall / 2.0;
-        if self.now >= self.pool.lends_at && self.pool.lent > 0.0 {
-            let apart = (f64::from(self.deployment.gateway_count) / 16.0).max(1.0);
-            self.pool.lends_at = self.now + POOL_WINDOW.times(apart);
-            self.host.add_to_counter(self.pool_name(1), std::mem::take(&mut self.pool.lent), POOL_KEPT);
+        self.pool.to_lend += unused / 2.0;
+        if self.now >= self.pool.next_lend && self.pool.to_lend > 0.0 {
+            let interval = (f64::from(self.deployment.gateway_count) / 16.0).max(1.0);
+            self.pool.next_lend = self.now + POOL_WINDOW.times(interval);
+            self.host.add_to_counter(self.pool_key(1), std::mem::take(&mut self.pool.to_lend), POOL_TTL);
         }
     }
 
-    /// Grants held jobs without a total from the counter, within this gateway's part of the quota. Where that part
-    /// is far below one job, one goes as soon as those before it are paid off, unless servers lack capacity.
-    /// With a counter, which is told of them later, all jobs of a plan with free overage go: overage costs nothing
-    /// and this gateway's share of the ceiling bounds them. While the call is queued (`rationed`), a job larger than
-    /// the part goes only if its overage costs less than the price: it fits at even odds, mostly for over-quota users.
-    fn judge_alone(&mut self, id: CustomerId, rationed: bool) {
+    /// Grants held jobs without a total, within this gateway's share of the quota. Where that is far below a job, one is
+    /// granted once the excess of earlier ones is refilled, unless servers are saturated. With a counter, which is told
+    /// later, all jobs with free overage go: they cost nothing, and the ceiling's share bounds them. While the call is
+    /// queued (`rationed`), a job above the share must cost less as overage than it earns: it fits at even odds at best.
+    fn grant_locally(&mut self, id: CustomerId, rationed: bool) {
         let sharers = self.sharers(id);
         let Some(customer) = self.customers.get(&id) else { return };
         let plan = &self.deployment.plans[customer.plan];
         let ((rate, burst), free) =
-            (plan.pace(self.fleet.usual), plan.free_overage() && self.deployment.has_counter);
+            (plan.rate_and_burst(self.fleet.answer_s), plan.free_overage() && self.deployment.has_counter);
         let costly = rationed && plan.overage_cost >= plan.price;
-        let pressed = self.now < self.fleet.pressed_until;
-        let (mut ahead, mut jobs) = (customer.ahead.drained(rate / sharers, self.now), Vec::new());
-        for job in customer.waiting.iter().filter_map(|job| self.held(*job)) {
-            let (part, by_part) = (burst / sharers, ahead <= 0.0 && !pressed);
-            if free || ahead + job.cost <= part || (by_part && !(costly && job.cost > part)) {
-                ahead += job.cost;
+        let saturated = self.now < self.fleet.saturated_until;
+        let (mut excess, mut jobs) = (customer.excess.drained(rate / sharers, self.now), Vec::new());
+        for job in customer.held_jobs.iter().filter_map(|job| self.held(*job)) {
+            let (share, refilled) = (burst / sharers, excess <= 0.0 && !saturated);
+            if free || excess + job.cost <= share || (refilled && !(costly && job.cost > share)) {
+                excess += job.cost;
                 jobs.push((job.arrival.job, job.cost));
             }
         }
         self.grant(id, jobs);
     }
 
-    /// Among how many gateways the customer's quota is shared where each judges alone.
+    /// Returns among how many gateways the customer's quota is shared while each grants locally.
     fn sharers(&mut self, id: CustomerId) -> f64 {
-        let set = self.customers.get(&id).map(|customer| (customer.set_first, customer.set_size));
+        let set = self.customers.get(&id).map(|customer| (customer.first_gateway, customer.set_size));
         set.map_or(1.0, |(first, size)| self.host.quota_sharers(first, size).clamp(1.0, size))
     }
 
-    /// Lets jobs go whose units have room; what they take is ahead of this gateway's part.
+    /// Admits jobs and adds their units to the excess over this gateway's share of the quota.
     fn grant(&mut self, id: CustomerId, jobs: Vec<(JobId, f64)>) {
         let sharers = self.sharers(id);
         let Some(customer) = self.customers.get_mut(&id) else { return };
-        let part = self.deployment.plans[customer.plan].pace(self.fleet.usual).0 / sharers;
+        let share = self.deployment.plans[customer.plan].rate_and_burst(self.fleet.answer_s).0 / sharers;
         let units: f64 = jobs.iter().map(|job| job.1).sum();
         customer.used += units;
-        customer.ahead = Level { amount: customer.ahead.drained(part, self.now) + units, at: self.now };
-        jobs.into_iter().for_each(|job| self.clear(job.0));
+        customer.excess = Bucket { amount: customer.excess.drained(share, self.now) + units, at: self.now };
+        jobs.into_iter().for_each(|job| self.admit(job.0));
     }
 
-    fn clear(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.ungranted()) else { return };
-        job.stage = Stage::Cleared;
-        let by = self.customers.entry(job.arrival.customer);
-        by.and_modify(|customer| customer.waiting.retain(|waiting| *waiting != id));
+    fn admit(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.awaits_grant()) else { return };
+        job.stage = Stage::Admitted;
+        let customer = self.customers.entry(job.arrival.customer);
+        customer.and_modify(|customer| customer.held_jobs.retain(|waiting| *waiting != id));
         self.dispatch(id);
     }
 
-    /// Sends a cleared job on, if its customer's ceiling and some server have room for it.
+    /// Sends an admitted job if the customer's ceiling and some server have capacity for it, else retries later.
     fn dispatch(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id).filter(|job| job.stage == Stage::Cleared) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|job| job.stage == Stage::Admitted) else { return };
         let (arrival, first, tick) = (job.arrival, job.relays == 0, self.deployment.tick);
-        let (latest, place) = (self.latest(job), self.place(job));
-        let Some(patience) = self.patience(job) else { return self.give_up(id, None) };
+        let (deadline, rank) = (self.relay_deadline(job), self.rank(job));
+        let Some(timeout) = self.relay_timeout(job) else { return self.give_up(id, None) };
         let Some(customer) = self.customers.get_mut(&arrival.customer) else { return };
-        if let (true, Some((rate, most))) = (first, customer.ceiling) {
-            customer.spent = Level { amount: customer.spent.drained(rate, self.now), at: self.now };
-            let short = customer.spent.amount + arrival.units - most;
-            if short > 0.0 {
-                let wait = Span::from_secs(short / rate) + tick;
-                if self.now + wait > latest {
+        if let (true, Some((rate, burst))) = (first, customer.ceiling) {
+            customer.spent = Bucket { amount: customer.spent.drained(rate, self.now), at: self.now };
+            let missing = customer.spent.amount + arrival.units - burst;
+            if missing > 0.0 {
+                let wait = Span::from_secs(missing / rate) + tick;
+                if self.now + wait > deadline {
                     return self.give_up(id, Some(wait));
                 }
                 return self.host.set_timer(wait, id);
             }
         }
-        let Some(server) = self.choose(id) else {
-            self.fleet.pressed_until = self.now + POOL_WINDOW;
-            self.fleet.backlog.insert(place);
-            if !std::mem::replace(&mut self.fleet.stirs, true) {
-                self.host.set_timer(Span::from_secs(self.fleet.usual / 4.0), BACKLOG_MARK);
+        let Some(server) = self.choose_server(id) else {
+            self.fleet.saturated_until = self.now + POOL_WINDOW;
+            self.fleet.backlog.insert(rank);
+            if !std::mem::replace(&mut self.fleet.backlog_timer_set, true) {
+                self.host.set_timer(Span::from_secs(self.fleet.answer_s / 4.0), BACKLOG_TIMER);
             }
-            return self.host.set_timer(latest.since(self.now), id);
+            return self.host.set_timer(deadline.since(self.now), id);
         };
         if let (true, Some(customer)) = (first, self.customers.get_mut(&arrival.customer)) {
             customer.spent.amount += arrival.units;
-            self.fleet.spare = (self.fleet.spare + 0.15).min(20.0);
+            self.fleet.retry_budget = (self.fleet.retry_budget + 0.15).min(20.0);
         }
-        let pushed = self.servers.get(&server).and_then(|to| self.cold_part(to)).map_or(0.0, |part| part.1);
+        let load = self.servers.get(&server).and_then(|to| self.cold_limit(to)).map_or(0.0, |part| part.1);
         let Some(to) = self.servers.get_mut(&server) else { return };
-        to.heard = if to.out > 0.0 { to.heard } else { self.now };
-        (to.out, to.tried, self.fleet.out) = (to.out + 1.0, self.now, self.fleet.out + 1.0);
-        self.fleet.pace.record(self.now.secs());
-        to.push = Level { amount: pushed + arrival.units, at: self.now };
+        to.last_alive = if to.active > 0.0 { to.last_alive } else { self.now };
+        (to.active, to.last_relay, self.fleet.active) = (to.active + 1.0, self.now, self.fleet.active + 1.0);
+        self.fleet.relay_rate.record(self.now.secs());
+        to.cold_load = Bucket { amount: load + arrival.units, at: self.now };
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        (job.stage, job.server, job.relays) = (Stage::Out(self.now), server, job.relays + 1);
-        self.host.relay(id, server, patience);
-        let hangs = self.jobs.get(&id).map_or(self.now, |job| self.hangs(job, self.now));
-        if hangs < arrival.abandon_at {
-            self.host.set_timer(hangs.since(self.now) + tick, id);
+        (job.stage, job.server, job.relays) = (Stage::Relayed(self.now), server, job.relays + 1);
+        self.host.relay(id, server, timeout);
+        let cancel_at = self.jobs.get(&id).map_or(self.now, |job| self.cancel_time(job, self.now));
+        if cancel_at < arrival.abandon_at {
+            self.host.set_timer(cancel_at.since(self.now) + tick, id);
         }
     }
 
-    /// The first server in a fixed ranking that has not enough. Each customer has its own, at each gateway another:
-    /// else a heavy customer would lead all gateways to one server, and none would see it.
-    fn choose(&mut self, id: JobId) -> Option<ServerId> {
-        if f64::from(self.deployment.gateway_count) > FEW {
-            return self.choose_among_many(id);
+    /// Chooses the first server with capacity. The ranking differs by customer and gateway, to spread heavy customers.
+    fn choose_server(&mut self, id: JobId) -> Option<ServerId> {
+        if f64::from(self.deployment.gateway_count) > START_LIMIT {
+            return self.choose_from_subset(id);
         }
-        let (by, own) = (self.jobs.get(&id)?.arrival.customer, u64::from(self.deployment.own_index));
-        let ranking = &mut self.customers.get_mut(&by)?.ranking;
-        if ranking.roster != self.fleet.roster {
-            (ranking.roster, ranking.order) = (self.fleet.roster, self.servers.keys().copied().collect());
-            ranking.order.sort_by_cached_key(|server| hashed(&[by, own, u64::from(*server)]));
+        let (customer, own) = (self.jobs.get(&id)?.arrival.customer, u64::from(self.deployment.own_index));
+        let ranking = &mut self.customers.get_mut(&customer)?.ranking;
+        if ranking.version != self.fleet.version {
+            (ranking.version, ranking.order) = (self.fleet.version, self.servers.keys().copied().collect());
+            ranking.order.sort_by_cached_key(|server| hash_of(&[customer, own, u64::from(*server)]));
         }
-        let (job, ranking) = (self.jobs.get(&id)?, &self.customers.get(&by)?.ranking);
-        ranking.order.iter().copied().find(|server| self.has_room(*server, job))
+        let (job, ranking) = (self.jobs.get(&id)?, &self.customers.get(&customer)?.ranking);
+        ranking.order.iter().copied().find(|server| self.has_capacity(*server, job))
     }
 
-    /// Chooses among this gateway's subset, in turn so that the fleet loads all alike: with many gateways, each sees
-    /// few answers of a server and all might send it one at once, so all relays are bounded. Of the next two it takes
-    /// the one with fewer outstanding (passes over slow servers); a subset with no usable server uses the fallback.
-    fn choose_among_many(&mut self, id: JobId) -> Option<ServerId> {
-        let full = self.fleet.out >= (self.fleet.bound * self.fleet.ready).max(1.0);
-        if full || (self.now < self.fleet.rested && self.fleet.slow > 1.25 * self.fleet.calm) {
+    /// Chooses from this gateway's subset: of the next two in turn the less loaded one, else a fallback server. As many
+    /// gateways see few answers of each server and all might send to it at once, the sum of relays is limited as well.
+    fn choose_from_subset(&mut self, id: JobId) -> Option<ServerId> {
+        let full = self.fleet.active >= (self.fleet.limit * self.fleet.ready).max(1.0);
+        if full || (self.now < self.fleet.rest_until && self.fleet.slowness > 1.25 * self.fleet.baseline) {
             return None;
         }
-        let (roster, before) = self.fleet.sliced;
-        let size = fennelgauge_spread::subset_size(self.fleet.pace.per_second(self.now.secs()), before);
-        if (roster, before) != (self.fleet.roster, size) {
-            let entries = self.servers.values().filter(|to| to.ready()).map(|to| to.entry);
-            let member = |it: RosterEntry| Candidate { server: it.server, rating: it.rating, zone: it.zone };
-            let seat = RingPosition::among_all(self.deployment.own_index, self.deployment.gateway_count);
-            self.fleet.subset.update(&entries.map(member).collect::<Vec<_>>(), seat, size);
-            self.fleet.sliced = (self.fleet.roster, size);
+        let (roster, before) = self.fleet.subset_basis;
+        let size = fennelgauge_spread::subset_size(self.fleet.relay_rate.per_second(self.now.secs()), before);
+        if (roster, before) != (self.fleet.version, size) {
+            let entries = self.servers.values().filter(|to| to.is_ready()).map(|to| to.entry);
+            let rated = |it: RosterEntry| Candidate { server: it.server, rating: it.rating, zone: it.zone };
+            let position = RingPosition::among_all(self.deployment.own_index, self.deployment.gateway_count);
+            self.fleet.subset.update(&entries.map(rated).collect::<Vec<_>>(), position, size);
+            self.fleet.subset_basis = (self.fleet.version, size);
         }
         let job = self.jobs.get(&id)?;
-        let room = |server: &ServerId| self.has_room(*server, job);
-        let out = |server: ServerId| self.servers.get(&server).map_or(0.0, |to| to.out);
-        let within: Vec<ServerId> = self.fleet.subset.in_turn_order().filter(room).take(2).collect();
-        let chosen = within.iter().copied().min_by(|a, b| out(*a).total_cmp(&out(*b)));
+        let room = |server: &ServerId| self.has_capacity(*server, job);
+        let active = |server: ServerId| self.servers.get(&server).map_or(0.0, |to| to.active);
+        let next_two: Vec<ServerId> = self.fleet.subset.in_turn_order().filter(room).take(2).collect();
+        let chosen = next_two.iter().copied().min_by(|a, b| active(*a).total_cmp(&active(*b)));
         let chosen = chosen.or_else(|| self.fleet.subset.fallback().find(room))?;
         self.fleet.subset.record_relay(chosen);
         Some(chosen)
     }
 
-    /// Returns how long to wait for the answer of a relay whose connection is up; `None` if it may no longer be sent.
+    /// Returns how long to wait for the answer once a relay is connected, or `None` if it must not be sent any more.
     pub fn relay_connected(&mut self, now: Moment, id: JobId) -> Option<Span> {
         self.now = now;
         let job = self.jobs.get(&id)?;
-        self.servers.get(&job.server).filter(|server| self.may_have(job, server))?;
-        self.patience(job)
+        self.servers.get(&job.server).filter(|server| self.may_run_on(job, server))?;
+        self.relay_timeout(job)
     }
 
-    fn patience(&self, job: &Job) -> Option<Span> {
+    fn relay_timeout(&self, job: &Job) -> Option<Span> {
         let tick = self.deployment.tick;
-        Some((job.arrival.abandon_at - tick - tick).since(self.now)).filter(|patience| *patience > tick)
+        Some((job.arrival.abandon_at - tick - tick).since(self.now)).filter(|timeout| *timeout > tick)
     }
 
-    /// Whether a job may be sent to a server, which never gets it twice in a row.
-    fn may_go(&self, job: &Job, server: &Server) -> bool {
-        (job.relays == 0 || job.server != server.entry.server) && self.may_have(job, server)
+    /// Returns whether a job may be sent to a server, which never gets it twice in a row.
+    fn may_send(&self, job: &Job, server: &Server) -> bool {
+        (job.relays == 0 || job.server != server.entry.server) && self.may_run_on(job, server)
     }
 
-    /// Rules 2 and 3: whether a server may have a job now.
-    fn may_have(&self, job: &Job, server: &Server) -> bool {
+    /// Rules 2 and 3: returns whether the server is ready and the repeat policy lets it run the job.
+    fn may_run_on(&self, job: &Job, server: &Server) -> bool {
         let (repeat, origin) = (self.deployment.classes[job.arrival.class].repeat, job.may_have_run);
-        server.ready()
+        server.is_ready()
             && origin.is_none_or(|(sent, from)| repeat.allows(&from, &server.entry, self.now.since(sent)))
     }
 
-    fn has_room(&self, id: ServerId, job: &Job) -> bool {
-        /// Some usual answers apart; jobs that may not run again are risked a quarter as often.
-        const TRIAL: Span = Span::from_millis(500);
-        let Some(server) = self.servers.get(&id).filter(|server| self.may_go(job, server)) else {
+    fn has_capacity(&self, id: ServerId, job: &Job) -> bool {
+        const TRIAL_PAUSE: Span = Span::from_millis(500); // several usual answer times
+        let Some(server) = self.servers.get(&id).filter(|server| self.may_send(job, server)) else {
             return false;
         };
-        let enough = if server.unwell(self.now, self.fleet.usual) {
-            // One relay at a time shows if it is well again, the more seldom the more failed.
-            let seldom = if self.deployment.classes[job.arrival.class].repeat.is_safe() { 1.0 } else { 4.0 };
-            let rest = TRIAL.times(seldom / (1.0 - server.failing).max(0.05));
-            server.out > 0.0 || self.now.since(server.tried) < rest
+        let is_full = if server.is_suspect(self.now, self.fleet.answer_s) {
+            // One trial at a time: rarer the more it failed, and a quarter as often with jobs that must not repeat.
+            let factor = if self.deployment.classes[job.arrival.class].repeat.is_safe() { 1.0 } else { 4.0 };
+            let pause = TRIAL_PAUSE.times(factor / (1.0 - server.failure_share).max(0.05));
+            server.active > 0.0 || self.now.since(server.last_relay) < pause
         } else {
-            server.out >= server.bound.max(1.0)
-                || (self.now < server.rested && self.fleet.slow > 1.25 * self.fleet.calm)
+            server.active >= server.limit.max(1.0)
+                || (self.now < server.rest_until && self.fleet.slowness > 1.25 * self.fleet.baseline)
         };
-        !enough
-            && self.cold_part(server).is_none_or(|(rate, left)| {
-                let at_once = rate * self.deployment.cold_start.overload_window.secs() / 2.0;
-                rate > 0.0 && (left <= 0.0 || left + job.arrival.units <= at_once)
+        !is_full
+            && self.cold_limit(server).is_none_or(|(rate, load)| {
+                let max_load = rate * self.deployment.cold_start.overload_window.secs() / 2.0;
+                rate > 0.0 && (load <= 0.0 || load + job.arrival.units <= max_load)
             })
     }
 
-    /// Rule 4: a cold server's safe part of what warm ones are seen to carry, in units a second, and how much
-    /// of it is still ahead. Half is kept back for slower machines and uneven work.
-    fn cold_part(&self, server: &Server) -> Option<(f64, f64)> {
-        const KEPT_BACK: f64 = 0.5;
+    /// Rule 4: returns the units per second that are safe for a cold server, from the throughput of warm ones, and the
+    /// load it still has to work off; `None` if warm. Half is held back for slower machines and uneven work.
+    fn cold_limit(&self, server: &Server) -> Option<(f64, f64)> {
+        const SAFETY: f64 = 0.5;
         let (now, cold, start) =
             (self.now, self.deployment.cold_start, self.deployment.cold_start.initial_share);
         let age = Some(now.since(server.entry.started?)).filter(|age| *age <= cold.warm_after)?;
         let warmth = start + (1.0 - start) * age.secs() / cold.warm_after.secs().max(0.001);
-        let multiple = KEPT_BACK * cold.overload_multiple * warmth;
-        let rate = multiple * self.carried().unwrap_or(self.fleet.carried) * server.entry.rating;
-        Some((rate, server.push.drained(rate, now)))
+        let multiple = SAFETY * cold.overload_multiple * warmth;
+        let rate = multiple * self.warm_throughput().unwrap_or(self.fleet.throughput) * server.entry.rating;
+        Some((rate, server.cold_load.drained(rate, now)))
     }
 
-    /// What warm servers carry, in units a second by rating, if any is warm.
-    fn carried(&self) -> Option<f64> {
+    /// Returns the units per second, per unit of rating, that warm servers carry; `None` if none is warm.
+    fn warm_throughput(&self) -> Option<f64> {
         let (now, after) = (self.now, self.deployment.cold_start.warm_after);
-        let long_up = |to: &&Server| to.entry.started.is_none_or(|started| now.since(started) > after);
-        let (mut warm, mut carried) = (0.0, 0.0);
-        for to in self.servers.values().filter(|to| to.ready()).filter(long_up) {
+        let is_warm = |to: &&Server| to.entry.started.is_none_or(|started| now.since(started) > after);
+        let (mut warm, mut throughput) = (0.0, 0.0);
+        for to in self.servers.values().filter(|to| to.is_ready()).filter(is_warm) {
             warm += to.entry.rating;
-            carried += to.carried.decayed(CARRIED_OVER, now);
+            throughput += to.throughput.decayed(THROUGHPUT_MEAN_S, now);
         }
-        (warm > 0.0).then(|| carried / warm)
+        (warm > 0.0).then(|| throughput / warm)
     }
 
+    /// Handles the end of a relay: learns from it, and retries or answers the job.
     pub fn relay_ended(&mut self, now: Moment, end: RelayEnd) {
         self.now = now;
-        let known = self.jobs.get(&end.job).map(|job| job.arrival);
-        let target = known.map_or(1.0, |job| self.deployment.classes[job.class].latency_target.secs());
-        self.learn(&end, known.map_or(1.0, |job| job.units), target);
+        let arrival = self.jobs.get(&end.job).map(|job| job.arrival);
+        let target = arrival.map_or(1.0, |job| self.deployment.classes[job.class].latency_target.secs());
+        self.learn_from(&end, arrival.map_or(1.0, |job| job.units), target);
         if let Some(job) = self.jobs.get_mut(&end.job) {
-            let Stage::Out(sent) = job.stage else { return self.work_off() };
-            job.stage = Stage::Cleared;
-            let unrun = matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
-            let at = self.servers.get(&end.server).map(|server| server.entry).unwrap_or_default();
-            job.may_have_run = job.may_have_run.or((!unrun).then_some((sent, at)));
-            // A job that no server may have any more would be held for nothing until its time runs short.
-            let again = |job: &Job| {
+            let Stage::Relayed(sent) = job.stage else { return self.retry_backlog() };
+            job.stage = Stage::Admitted;
+            let not_run = matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
+            let entry = self.servers.get(&end.server).map(|server| server.entry).unwrap_or_default();
+            job.may_have_run = job.may_have_run.or((!not_run).then_some((sent, entry)));
+            // A job that no server may run any more must not be held until its deadline.
+            let may_retry = |job: &Job| {
                 job.relays < self.deployment.max_relays
-                    && (self.fleet.spare >= 1.0 || end.outcome == Outcome::ConnectFailed)
-                    && now < self.latest(job)
-                    && self.servers.values().any(|to| self.may_go(job, to))
+                    && (self.fleet.retry_budget >= 1.0 || end.outcome == Outcome::ConnectFailed)
+                    && now < self.relay_deadline(job)
+                    && self.servers.values().any(|to| self.may_send(job, to))
             };
             if end.job_finished || end.outcome == Outcome::Succeeded {
-                self.forget(end.job);
-            } else if self.jobs.get(&end.job).is_some_and(again) {
-                self.fleet.spare = (self.fleet.spare - 1.0).max(0.0);
+                self.remove_job(end.job);
+            } else if self.jobs.get(&end.job).is_some_and(may_retry) {
+                self.fleet.retry_budget = (self.fleet.retry_budget - 1.0).max(0.0);
                 self.dispatch(end.job);
             } else {
                 self.give_up(end.job, None);
             }
         }
-        self.work_off();
+        self.retry_backlog();
     }
 
-    fn learn(&mut self, end: &RelayEnd, units: f64, target: f64) {
-        // About as many relays as a small machine has cores keep it at work, however slow its answers.
-        const LEAST: f64 = 3.0;
-        let least = (LEAST / f64::from(self.deployment.gateway_count)).min(1.0);
+    fn learn_from(&mut self, end: &RelayEnd, units: f64, target: f64) {
+        // About the cores of a small machine: this many relays keep it busy, however slow its answers are.
+        const MIN_LIMIT: f64 = 3.0;
+        let min_limit = (MIN_LIMIT / f64::from(self.deployment.gateway_count)).min(1.0);
         let (now, took, fleet) = (self.now, end.duration.secs(), &mut self.fleet);
         let Some(server) = self.servers.get_mut(&end.server) else { return };
-        (server.out, fleet.out) = ((server.out - 1.0).max(0.0), (fleet.out - 1.0).max(0.0));
+        (server.active, fleet.active) = ((server.active - 1.0).max(0.0), (fleet.active - 1.0).max(0.0));
         match end.outcome {
             Outcome::Succeeded => {
-                server.gap += 0.1 * (now.since(server.heard).secs() - server.gap);
-                server.heard = now;
-                server.failing *= 0.8;
-                let carried = server.carried.decayed(CARRIED_OVER, now) + units / CARRIED_OVER;
-                server.carried = Level { amount: carried, at: now };
-                // Slow answers, whatever slows them, cut what it gets: a server driven hard stays slow.
-                // Work goes by units where they differ, so a large job's answer is no slower for its size.
-                fleet.usual += 0.02 * (took.min(fleet.usual * 4.0) - fleet.usual);
-                fleet.units += 0.02 * (units - fleet.units);
-                let slow = took / target * fleet.units / units.max(NOTHING);
-                // Slow is told by the pace of servers that get the least already, kept within a safe range.
-                if server.bound <= least {
-                    fleet.calm = (fleet.calm + 0.002 * (slow - fleet.calm)).clamp(0.12, 0.18);
+                server.mean_gap_s += 0.1 * (now.since(server.last_alive).secs() - server.mean_gap_s);
+                server.last_alive = now;
+                server.failure_share *= 0.8;
+                let carried = server.throughput.decayed(THROUGHPUT_MEAN_S, now) + units / THROUGHPUT_MEAN_S;
+                server.throughput = Bucket { amount: carried, at: now };
+                // Slow answers, whatever the cause, lower the limit: a server under pressure stays slow otherwise.
+                // Latency is scaled by the job's units, so that large jobs do not count as slow.
+                fleet.answer_s += 0.02 * (took.min(fleet.answer_s * 4.0) - fleet.answer_s);
+                fleet.mean_units += 0.02 * (units - fleet.mean_units);
+                let slow = took / target * fleet.mean_units / units.max(EPSILON);
+                // The baseline follows servers that are already at the minimum limit, within a safe range.
+                if server.limit <= min_limit {
+                    fleet.baseline = (fleet.baseline + 0.002 * (slow - fleet.baseline)).clamp(0.12, 0.18);
                 }
-                if slow > 1.25 * fleet.calm {
-                    server.cut(0.8, now, 0.2 * target, least);
-                } else if slow < 0.75 * fleet.calm && server.out + 2.0 > server.bound {
-                    server.bound += (1.0 / server.bound).min(server.bound / 4.0);
+                if slow > 1.25 * fleet.baseline {
+                    server.reduce_limit(0.8, now, 0.2 * target, min_limit);
+                } else if slow < 0.75 * fleet.baseline && server.active + 2.0 > server.limit {
+                    server.limit += (1.0 / server.limit).min(server.limit / 4.0);
                 }
-                // One answer says little of all servers, the last ten do.
-                fleet.slow += 0.1 * (slow - fleet.slow);
-                if fleet.slow > 2.0 * fleet.calm {
-                    fleet.bound *= 0.97;
-                } else if fleet.slow < 1.5 * fleet.calm && fleet.out + 2.0 > fleet.bound * fleet.ready {
-                    fleet.bound *= 1.03;
+                // One answer says little about all servers; an average over about ten does.
+                fleet.slowness += 0.1 * (slow - fleet.slowness);
+                if fleet.slowness > 2.0 * fleet.baseline {
+                    fleet.limit *= 0.97;
+                } else if fleet.slowness < 1.5 * fleet.baseline
+                    && fleet.active + 2.0 > fleet.limit * fleet.ready
+                {
+                    fleet.limit *= 1.03;
                 }
             }
             Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Full | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
-                // A server that fails or turns all away at once would look idle and draw all jobs.
-                server.failing += 0.2 * (1.0 - server.failing);
+                // A server that fails or refuses jobs at once would look idle and attract all jobs.
+                server.failure_share += 0.2 * (1.0 - server.failure_share);
                 if end.outcome == Outcome::Full {
-                    server.cut(0.7, now, fleet.usual, least);
-                    fleet.bound *= 0.97;
+                    server.reduce_limit(0.7, now, fleet.answer_s, min_limit);
+                    fleet.limit *= 0.97;
                 }
-                fleet.slow += 0.1 * (took / target - fleet.slow).max(0.0);
+                fleet.slowness += 0.1 * (took / target - fleet.slowness).max(0.0);
             }
         }
-        fleet.bound = fleet.bound.max(least);
-        // A refusal comes at once; rested only by that, many gateways would ask again in a herd.
-        let shortest = if end.outcome == Outcome::Succeeded { 0.0 } else { fleet.usual };
+        fleet.limit = fleet.limit.max(min_limit);
+        // Refusals are fast; pauses of only their length would let many gateways retry at the same time.
+        let shortest = if end.outcome == Outcome::Succeeded { 0.0 } else { fleet.answer_s };
         let busy = end.duration.max(Span::from_secs(shortest));
-        (server.rested, fleet.rested) =
-            (now + rest(busy, server.bound), now + rest(busy, fleet.bound * fleet.ready.max(1.0)));
+        (server.rest_until, fleet.rest_until) =
+            (now + rest(busy, server.limit), now + rest(busy, fleet.limit * fleet.ready.max(1.0)));
     }
 
-    /// What goes first under pressure: the most benefit, and of that the newest, as the oldest would be late.
-    fn place(&self, job: &Job) -> (u64, Moment, JobId) {
-        let (of, sold) = (&job.arrival, &self.deployment);
-        let benefit = sold.classes[of.class].benefit * sold.plans[of.plan].price;
-        (benefit.to_bits(), job.target, of.job)
+    /// Order of the backlog, last first: highest benefit, then newest, as the oldest jobs would be late.
+    fn rank(&self, job: &Job) -> (u64, Moment, JobId) {
+        let (arrival, deployment) = (&job.arrival, &self.deployment);
+        let benefit = deployment.classes[arrival.class].benefit * deployment.plans[arrival.plan].price;
+        (benefit.to_bits(), job.target, arrival.job)
     }
 
-    /// Sends on what waits for a server, as far as there is room.
-    fn work_off(&mut self) {
-        while let Some(place) = self.fleet.backlog.pop_last() {
-            self.dispatch(place.2);
-            if self.fleet.backlog.contains(&place) {
+    fn retry_backlog(&mut self) {
+        while let Some(rank) = self.fleet.backlog.pop_last() {
+            self.dispatch(rank.2);
+            if self.fleet.backlog.contains(&rank) {
                 return;
             }
         }
     }
 
-    /// Drops a job that needs no answer any more: the client is gone, or a streamed answer has begun.
+    /// Drops a job that needs no answer any more: its client is gone, or a streamed answer has begun.
     pub fn job_closed(&mut self, now: Moment, job: JobId) {
         self.now = now;
-        self.forget(job);
+        self.remove_job(job);
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn remove_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        let place = self.place(&job);
+        let rank = self.rank(&job);
         let Some(customer) = self.customers.get_mut(&job.arrival.customer) else { return };
-        customer.waiting.retain(|waiting| *waiting != id);
-        self.fleet.backlog.remove(&place);
-        // Units counted and unsent, or the place of a relay that has ended, go back to the count.
+        customer.held_jobs.retain(|waiting| *waiting != id);
+        self.fleet.backlog.remove(&rank);
+        // Units that were granted but not used, or the slot of a relay that has ended, go back to the total.
         let plan = &self.deployment.plans[customer.plan];
-        let by_cap = plan.has_quota() && !plan.is_rate_limited();
-        if job.ungranted() || (job.relays > 0 && !by_cap) {
+        let by_concurrency = plan.has_quota() && !plan.is_rate_limited();
+        if job.awaits_grant() || (job.relays > 0 && !by_concurrency) {
             return;
         }
         customer.used = (customer.used - job.cost).max(0.0);
-        if by_cap {
-            customer.shut = self.now;
-            self.ask(job.arrival.customer);
+        if by_concurrency {
+            customer.next_call = self.now;
+            self.request_units(job.arrival.customer);
         }
     }
 
-    /// The final answer to a job with no relay out: a dismissal where a retry is harmless, else a forfeit.
-    fn give_up(&mut self, id: JobId, room_after: Option<Span>) {
+    /// Gives the final answer to a job without a relay in progress: a rejection if a retry is safe, else a failure.
+    fn give_up(&mut self, id: JobId, retry_after: Option<Span>) {
         let Some(job) = self.jobs.get(&id) else { return };
         if job.may_have_run.is_none() || self.deployment.classes[job.arrival.class].repeat.is_safe() {
-            let hold_off = self.deployment.max_retry_after.and_then(|most| Some(room_after?.min(most)));
-            self.host.reject(id, hold_off);
+            let advised = self.deployment.max_retry_after.and_then(|max| Some(retry_after?.min(max)));
+            self.host.reject(id, advised);
         } else {
             self.host.fail(id);
         }
-        self.forget(id);
+        self.remove_job(id);
     }
 
-    /// A timer has come due.
-    pub fn timer_fired(&mut self, now: Moment, mark: u64) {
+    /// Handles a timer that is due.
+    pub fn timer_fired(&mut self, now: Moment, timer_id: u64) {
         self.now = now;
-        if mark == CALLS_MARK {
-            self.serve_callers();
-        } else if mark == BACKLOG_MARK {
-            self.fleet.stirs = false;
-            self.work_off();
-        } else if mark >= CUSTOMER_MARK {
-            self.ask(mark - CUSTOMER_MARK);
-        } else if let Some(job) = self.jobs.get(&mark) {
-            let (stage, latest) = (job.stage, self.latest(job));
+        if timer_id == CALLS_TIMER {
+            self.serve_call_queue();
+        } else if timer_id == BACKLOG_TIMER {
+            self.fleet.backlog_timer_set = false;
+            self.retry_backlog();
+        } else if timer_id >= CUSTOMER_TIMERS {
+            self.request_units(timer_id - CUSTOMER_TIMERS);
+        } else if let Some(job) = self.jobs.get(&timer_id) {
+            let (stage, deadline) = (job.stage, self.relay_deadline(job));
             match stage {
-                Stage::Out(sent) if now > self.hangs(job, sent) => {
-                    self.host.cancel_relay(mark, job.relays - 1)
+                Stage::Relayed(sent) if now > self.cancel_time(job, sent) => {
+                    self.host.cancel_relay(timer_id, job.relays - 1)
                 }
-                Stage::Out(_) => {}
-                _ if now >= latest => self.give_up(mark, None),
-                Stage::Cleared if !self.fleet.backlog.contains(&self.place(job)) => self.dispatch(mark),
-                _ => self.host.set_timer(latest.since(now), mark),
+                Stage::Relayed(_) => {}
+                _ if now >= deadline => self.give_up(timer_id, None),
+                Stage::Admitted if !self.fleet.backlog.contains(&self.rank(job)) => self.dispatch(timer_id),
+                _ => self.host.set_timer(deadline.since(now), timer_id),
             }
         }
     }
 
-    /// When a relay, out unusually long and past its target time, is taken back where a late answer earns
-    /// nothing: it keeps a place that others could use, whatever it hangs on.
-    fn hangs(&self, job: &Job, sent: Moment) -> Moment {
-        let kept = self.deployment.classes[job.arrival.class].late_benefit_share > 0.0
+    /// Returns when to cancel a relay: unusually slow, past its target, and worth nothing if late, it blocks others.
+    fn cancel_time(&self, job: &Job, sent: Moment) -> Moment {
+        let keep = self.deployment.classes[job.arrival.class].late_benefit_share > 0.0
             || !self.deployment.may_cancel_relays;
-        let until = if kept { job.arrival.abandon_at } else { job.target };
-        until.max(sent + Span::from_secs(self.fleet.usual * UNUSUAL))
+        let until = if keep { job.arrival.abandon_at } else { job.target };
+        until.max(sent + Span::from_secs(self.fleet.answer_s * SUSPECT_GAPS))
     }
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,121 +1,146 @@
-//! What the decisions need from the program that embeds them, and the plain types that pass between the two.
+//! The interface between the decisions and the program that embeds them, and the plain types that cross it.
 
 use crate::time::{Moment, Span};
 
-/// Below [`JOB_ID_LIMIT`].
+/// Identifies a job at one gateway; always below [`JOB_ID_LIMIT`].
 pub type JobId = u64;
+/// Identifies a server of the roster.
 pub type ServerId = u32;
+/// Identifies a customer, the unit that quotas are kept for.
 pub type CustomerId = u64;
+/// Names one total that the counter service, or the gateways among themselves, keep.
 pub type CounterKey = u64;
 
-/// Ids of jobs are below this, and so are the marks of timers that are only about a job.
+/// Exclusive upper limit of job ids, and of the ids of timers that concern a single job.
 pub const JOB_ID_LIMIT: u64 = 1 << 52;
 
-/// The acts open to a gateway.
+/// The actions that a gateway can take; the embedding program carries them out.
 pub trait Host {
-    /// Sends a job to a server and stops waiting for it after `patience`.
+    /// Sends a job to a server (a relay) and ends the relay as timed out after `patience`.
     fn relay(&mut self, job: JobId, server: ServerId, patience: Span);
-    /// Stops waiting for one relay, numbered from 0 by job.
+    /// Stops waiting for one relay of a job; a job's relays are numbered from 0.
     fn cancel_relay(&mut self, job: JobId, relay: u8);
-    /// Final answer: not done, a retry is harmless, best after `hold_off` where one is named.
-    fn reject(&mut self, job: JobId, hold_off: Option<Span>);
-    /// Final answer: failed, with no promise about effects.
+    /// Gives the final answer that a job was not done and may safely be retried, after `retry_after` if given.
+    fn reject(&mut self, job: JobId, retry_after: Option<Span>);
+    /// Gives the final answer that a job failed and may or may not have taken effect.
     fn fail(&mut self, job: JobId);
-    /// Asks for a call of `timer_fired` with `mark`. Where the mark is a job's id, none is needed once that is over.
-    fn set_timer(&mut self, after: Span, mark: u64);
-    /// Adds to a count of the counter; a new name starts at 0 and is kept for `keep`.
-    fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span);
-    /// Whether the gateways themselves can keep counts now, for while the counter cannot serve.
+    /// Requests a call of `Gateway::timer_fired` with `timer_id`; may be skipped if the id is that of a finished job.
+    fn set_timer(&mut self, after: Span, timer_id: u64);
+    /// Adds to a total of the counter service. A new key starts at 0 and is kept for `retention`. The reply comes
+    /// through `Gateway::counter_replied`.
+    fn add_to_counter(&mut self, key: CounterKey, amount: f64, retention: Span);
+    /// Returns whether the gateways can currently keep totals themselves, for when the counter service cannot serve.
     fn peers_can_count(&mut self) -> bool {
         false
     }
-    /// Adds to a count that the gateways keep, and what is wanted besides where it fits; comes back by `counted_among`.
-    fn add_to_peer_count(&mut self, _name: CounterKey, _amount: f64, _wanted: ConditionalAdd) {}
-    /// Among how many gateways a customer's quota is shared that is judged alone: those of its set, from the first,
-    /// less some that are held to have failed.
-    fn quota_sharers(&mut self, _first: u32, set_size: f64) -> f64 {
+    /// Adds `amount` to a total that the gateways keep, plus the conditional amount if the total permits it. The reply
+    /// comes through `Gateway::peer_count_replied`.
+    fn add_to_peer_count(&mut self, _key: CounterKey, _amount: f64, _conditional: ConditionalAdd) {}
+    /// Returns how many gateways share a customer's quota when no total is available: the gateways of its set, which
+    /// starts at `first_gateway`, minus some of those considered failed.
+    fn quota_sharers(&mut self, _first_gateway: u32, set_size: f64) -> f64 {
         set_size
     }
-    /// Asks to be told of changes to the roster, from now on and however often that fails.
+    /// Subscribes to changes of the roster; the host keeps retrying if that fails.
     fn subscribe_to_roster(&mut self);
 }
 
-/// Units wanted of a count that the gateways keep, and the totals above which they are in vain: of a plain total, and
-/// of one that holds the mark.
+/// An amount to add to a total that the gateways keep, unless the total is already too high.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConditionalAdd {
+    /// Units to add.
     pub amount: f64,
+    /// Highest total at which the amount is added, if the total does not contain the deficit marker.
     pub max_total: f64,
+    /// The same limit for a total that contains the marker and the burst deficit carried over from the last window.
     pub max_with_deficit: f64,
 }
 
 impl ConditionalAdd {
-    /// The count stands so that the units may be added.
+    /// Returns whether the amount may be added to a total that is `before` now.
     pub fn permits(&self, before: f64) -> bool {
-        let marked = before >= self.max_with_deficit / 2.0;
-        before <= if marked { self.max_with_deficit } else { self.max_total }
+        let has_marker = before >= self.max_with_deficit / 2.0;
+        before <= if has_marker { self.max_with_deficit } else { self.max_total }
     }
 }
 
-/// A deployment as told at start.
+/// The static description of a deployment, given when a gateway starts.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
+    /// Number of gateways in the deployment.
     pub gateway_count: u32,
+    /// Index of this gateway, from 0.
     pub own_index: u32,
-    /// How often the host can act at most.
+    /// Shortest interval at which the host can act.
     pub tick: Span,
+    /// Service classes; [`Arrival::class`] is an index into this list.
     pub classes: Vec<ServiceClass>,
+    /// Plans; [`Arrival::plan`] is an index into this list.
     pub plans: Vec<Plan>,
+    /// Whether a counter service exists.
     pub has_counter: bool,
+    /// Whether the host can cancel relays.
     pub may_cancel_relays: bool,
+    /// Most relays that one job may have in all, including the first.
     pub max_relays: u8,
-    /// The longest wait that clients take as advice; none where they take no advice.
+    /// Longest retry-after advice that clients follow; `None` if they follow none.
     pub max_retry_after: Option<Span>,
+    /// Whether the gateway must subscribe to the roster to receive changes.
     pub subscribe_to_roster: bool,
+    /// Capacity and overload limits of servers that have just started.
     pub cold_start: ColdStart,
 }
 
-/// How a freshly started server has to be treated.
+/// How much load a server that has just started can take.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
+    /// Capacity at the start, as a share of the capacity when warm.
     pub initial_share: f64,
+    /// Time from the start until full capacity; the capacity grows linearly.
     pub warm_after: Span,
+    /// A cold server fails if it gets more than this multiple of its capacity within `overload_window`.
     pub overload_multiple: f64,
+    /// The period over which the overload is measured.
     pub overload_window: Span,
 }
 
+/// A class of jobs with the same latency target, benefit and repeat policy.
 #[derive(Clone, Debug)]
 pub struct ServiceClass {
+    /// Time from arrival within which an answer counts as on time.
     pub latency_target: Span,
-    /// What a job is worth; never negative.
+    /// Value of an answer on time; never negative.
     pub benefit: f64,
-    /// Share of the benefit that a late answer earns.
+    /// Share of the benefit that a late answer still earns.
     pub late_benefit_share: f64,
+    /// Whether a job may run more than once.
     pub repeat: RepeatPolicy,
 }
 
-/// Whether a job may run again.
+/// Whether a job may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RepeatPolicy {
+    /// Running a job again has no further effect.
     Idempotent,
-    /// Repeats are dropped within the group for the span after the first relay that may have run.
+    /// Servers within the scope drop repeats, for the given time after the first relay that may have run.
     Deduplicated(DedupScope, Span),
+    /// A job must not run twice.
     NonIdempotent,
 }
 
 impl RepeatPolicy {
-    /// May run again anywhere.
+    /// Returns whether a job may run again on any server at any time, so that a client may also retry it.
     pub fn is_safe(self) -> bool {
         matches!(self, Self::Idempotent | Self::Deduplicated(DedupScope::All, _))
     }
 
-    /// May run again at `to`, that long after it was sent to `from`, where it may have run.
+    /// Returns whether a job that may have run at `from` may be sent to `to`, `after` it was sent to `from`.
     pub fn allows(self, from: &RosterEntry, to: &RosterEntry, after: Span) -> bool {
         match self {
             Self::Idempotent => true,
             Self::NonIdempotent => false,
-            Self::Deduplicated(group, window) => {
-                let same = match group {
+            Self::Deduplicated(scope, window) => {
+                let same = match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => to.zone == from.zone,
                     DedupScope::Cell => to.cell == from.cell,
@@ -126,42 +151,53 @@
     }
 }
 
+/// The servers that share their records of jobs already run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
+    /// All servers.
     All,
+    /// The servers of one zone.
     Zone,
+    /// The servers of one cell.
     Cell,
 }
 
+/// A plan that customers buy: a quota (by rate or by concurrency, or none), a price and an optional hard ceiling.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Units a second; 0: no quota on the rate.
+    /// Quota in units per second; 0 if the plan has no rate quota.
     pub rate: f64,
+    /// Units of the rate quota that can be used at once.
     pub burst: f64,
-    /// Most relays out at once; 0: no such quota.
+    /// Quota of relays outstanding at once; 0 if the plan has no such quota.
     pub max_concurrent_relays: f64,
-    /// Multiplies the benefit; never negative.
+    /// Multiplies the benefit of a job; never negative.
     pub price: f64,
+    /// Share of the value that a job beyond the quota earns.
     pub overage_share: f64,
+    /// Cost of use beyond the quota, on the scale of `price`.
     pub overage_cost: f64,
+    /// A limit that must never be exceeded.
     pub ceiling: Option<Ceiling>,
 }
 
 impl Plan {
+    /// Returns whether the quota is a rate.
     pub fn is_rate_limited(&self) -> bool {
         self.rate > 0.0
     }
 
+    /// Returns whether the plan has any quota.
     pub fn has_quota(&self) -> bool {
         self.is_rate_limited() || self.max_concurrent_relays > 0.0
     }
 
-    /// Use beyond the quota earns something and costs nothing.
+    /// Returns whether use beyond the rate quota earns something and costs nothing.
     pub fn free_overage(&self) -> bool {
         self.is_rate_limited() && self.overage_share > 0.0 && self.overage_cost <= 0.0
     }
 
-    /// What a job takes of its plan's quota: its units, or one relay.
+    /// Returns how much of the plan's quota a job uses: its units, or one relay.
     pub fn cost(&self, job: &Arrival) -> f64 {
         if self.is_rate_limited() {
             job.units
@@ -171,66 +207,99 @@
     }
 }
 
+/// A hard limit on a customer's use over all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct Ceiling {
+    /// Units per second.
     pub rate: f64,
+    /// Units that can be used at once.
     pub burst: f64,
+    /// Units by which the limit may be exceeded without a breach.
     pub slack: f64,
 }
 
-/// A job as it comes in.
+/// A job as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
+    /// Id of the job, unique at this gateway.
     pub job: JobId,
+    /// The customer whose quota the job uses.
     pub customer: CustomerId,
+    /// Index into [`Deployment::classes`].
     pub class: usize,
+    /// Index into [`Deployment::plans`].
     pub plan: usize,
+    /// Size of the job in units of the plan.
     pub units: f64,
-    /// The gateways that the customer's jobs come in through: the first one's index, and how many there are.
+    /// Index of the first gateway of the set that the customer's jobs arrive through.
     pub first_gateway: u32,
+    /// Number of gateways in that set.
     pub gateway_set_size: u32,
+    /// When the client gives up on the job.
     pub abandon_at: Moment,
 }
 
-/// How a relay, or a call to the counter, ended.
+/// How a relay, or a call to the counter service, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The call was answered successfully.
     Succeeded,
+    /// The call was answered with an error.
     Error,
+    /// The call was refused for lack of capacity and did not run.
     Full,
+    /// No answer came in time.
     TimedOut,
+    /// The connection could not be opened, so the call was not sent.
     ConnectFailed,
+    /// The connection broke before the answer was complete.
     Reset,
+    /// The gateway cancelled the call.
     Cancelled,
+    /// The call ended before it was sent.
     NotSent,
 }
 
+/// The end of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayEnd {
+    /// The job that was relayed.
     pub job: JobId,
+    /// The server it was sent to.
     pub server: ServerId,
+    /// How the relay ended.
     pub outcome: Outcome,
+    /// Time from sending to the end.
     pub duration: Span,
-    /// The job needs no further answer.
+    /// Whether the job needs no further answer.
     pub job_finished: bool,
 }
 
+/// Whether a server accepts jobs, according to the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
+    /// The server accepts jobs.
     Ready,
+    /// The server finishes what it has and must get no further jobs.
     Draining,
+    /// The server no longer exists.
     #[default]
     Gone,
 }
 
-/// A line of the roster.
+/// One server of the roster.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RosterEntry {
+    /// Id of the server; it stays the same when the server restarts.
     pub server: ServerId,
+    /// Whether the server accepts jobs.
     pub health: Health,
+    /// Relative capacity, comparable across servers; 0 or less counts as 1.
     pub rating: f64,
+    /// Zone the server is in.
     pub zone: u16,
+    /// Cell the server is in.
     pub cell: u16,
-    /// Latest start; none: long past.
+    /// Time of the latest start; `None` if long past.
     pub started: Option<Moment>,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,242 +1,285 @@
-//! What a gateway remembers; `choice.rs` alone decides by it.
+//! The state that a gateway keeps of jobs, servers, customers and the counter. All decisions are in `choice.rs`.
 
 use crate::host::{Arrival, CounterKey, CustomerId, Health, JobId, RosterEntry, ServerId};
 use crate::time::{Moment, Span};
 use fennelgauge_spread::{RelayRate, Subset};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// A job from its arrival to its final answer.
 pub(crate) struct Job {
+    /// The job as it arrived.
     pub(crate) arrival: Arrival,
-    /// What it takes of its plan's quota.
+    /// How much of its plan's quota it uses.
     pub(crate) cost: f64,
+    /// What it waits for.
     pub(crate) stage: Stage,
-    /// When an answer is wanted.
+    /// Time by which an answer counts as on time.
     pub(crate) target: Moment,
+    /// Number of relays sent so far.
     pub(crate) relays: u8,
-    /// The latest relay's server.
+    /// Server of the latest relay.
     pub(crate) server: ServerId,
-    /// When the first relay that may have run was sent, and where.
+    /// Start time and server of the first relay that may have run.
     pub(crate) may_have_run: Option<(Moment, RosterEntry)>,
 }
 
 impl Job {
-    /// Nothing was granted to it yet.
-    pub(crate) fn ungranted(&self) -> bool {
+    /// Returns whether its units have not been granted yet.
+    pub(crate) fn awaits_grant(&self) -> bool {
         matches!(self.stage, Stage::Held | Stage::Drawing)
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
+/// What a job waits for.
 pub(crate) enum Stage {
-    /// Held until the quota has room.
+    /// Units of the quota.
     Held,
-    /// Draws on the pool.
+    /// The reply to a draw on the pool of lent units.
     Drawing,
-    /// The quota has room; waits for the ceiling or a server.
-    Cleared,
-    /// A relay is out since then.
-    Out(Moment),
+    /// Units of the ceiling, or a server; the quota has been granted.
+    Admitted,
+    /// The answer to a relay that was sent at this time.
+    Relayed(Moment),
 }
 
-/// All that is known of one server.
+/// Roster entry and measurements of one server.
 #[derive(Default)]
 pub(crate) struct Server {
+    /// Latest entry of the roster.
     pub(crate) entry: RosterEntry,
-    pub(crate) out: f64,
-    /// Relays that it may have of this gateway at once before it has enough.
-    pub(crate) bound: f64,
-    pub(crate) cut: Moment,
-    /// Rests until then where less than one relay at a time is enough.
-    pub(crate) rested: Moment,
-    /// The latest sign of health while it owed answers, or since when it owes one.
-    pub(crate) heard: Moment,
-    /// The usual span between such signs, in seconds.
-    pub(crate) gap: f64,
-    /// Share of late relays that ended badly.
-    pub(crate) failing: f64,
-    pub(crate) tried: Moment,
-    /// Units a second it answered well, decaying.
-    pub(crate) carried: Level,
+    /// Relays in progress from this gateway.
+    pub(crate) active: f64,
+    /// Limit of relays in progress; below 1, relays are spaced by pauses instead.
+    pub(crate) limit: f64,
+    /// When the limit was last lowered.
+    pub(crate) last_cut: Moment,
+    /// End of the pause that spaces relays while the limit is below 1.
+    pub(crate) rest_until: Moment,
+    /// Latest success, or the start of the first relay in progress if that is later.
+    pub(crate) last_alive: Moment,
+    /// Mean time between successes in seconds.
+    pub(crate) mean_gap_s: f64,
+    /// Share of recent relays that failed (moving average).
+    pub(crate) failure_share: f64,
+    /// When the latest relay was sent.
+    pub(crate) last_relay: Moment,
+    /// Units per second answered successfully (moving average).
+    pub(crate) throughput: Bucket,
     /// Units sent while cold and not yet worked off.
-    pub(crate) push: Level,
+    pub(crate) cold_load: Bucket,
 }
 
-/// The servers in an order, as of a state of the roster.
+/// Servers in the order in which one customer uses them.
 #[derive(Default)]
 pub(crate) struct Ranking {
+    /// The order; the first server with capacity is used.
     pub(crate) order: Vec<ServerId>,
-    pub(crate) roster: u64,
+    /// Version of the roster that the order was made from.
+    pub(crate) version: u64,
 }
 
 /// What is known of all servers together.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// How often the roster has changed.
-    pub(crate) roster: u64,
-    /// This gateway's slice of the servers, the same for all customers; as of which state of the roster, and how
-    /// many servers were wanted.
+    /// Version of the roster: the number of changes so far.
+    pub(crate) version: u64,
+    /// This gateway's subset of the servers, the same for all customers.
     pub(crate) subset: Subset,
-    pub(crate) sliced: (u64, f64),
-    /// Relays a second.
-    pub(crate) pace: RelayRate,
-    /// Jobs with room in their quota that no server had room for, by benefit, then target time.
+    /// Version of the roster and wanted size that the subset was made for.
+    pub(crate) subset_basis: (u64, f64),
+    /// Relays per second of this gateway.
+    pub(crate) relay_rate: RelayRate,
+    /// Admitted jobs that no server had capacity for, by benefit, target time and id.
     pub(crate) backlog: BTreeSet<(u64, Moment, JobId)>,
-    /// A timer is set to try it again.
-    pub(crate) stirs: bool,
-    /// Some job found no server shortly before.
-    pub(crate) pressed_until: Moment,
-    /// How long answers take of late, in seconds, and how many units their jobs have.
-    pub(crate) usual: f64,
-    pub(crate) units: f64,
-    /// How long answers to usual jobs take of unhurried servers, and of all, in target times.
-    pub(crate) calm: f64,
-    pub(crate) slow: f64,
-    /// Relays out through this gateway, how many there may be for each ready server where its part of one is
-    /// below one relay, and how many servers are ready.
-    pub(crate) out: f64,
+    /// Whether a timer is set to try the backlog again.
+    pub(crate) backlog_timer_set: bool,
+    /// Servers count as saturated until then, as some job found none with capacity.
+    pub(crate) saturated_until: Moment,
+    /// Mean time to an answer in seconds.
+    pub(crate) answer_s: f64,
+    /// Mean units of an answered job.
+    pub(crate) mean_units: f64,
+    /// Usual answer time of servers without overload, as a fraction of the latency target.
+    pub(crate) baseline: f64,
+    /// Recent answer time of all servers, as a fraction of the latency target.
+    pub(crate) slowness: f64,
+    /// Relays in progress from this gateway.
+    pub(crate) active: f64,
+    /// Number of ready servers.
     pub(crate) ready: f64,
-    pub(crate) bound: f64,
-    pub(crate) rested: Moment,
-    /// Units a second by rating that warm servers carried when some were last there.
-    pub(crate) carried: f64,
-    /// Further relays that may still be made; earned by first ones.
-    pub(crate) spare: f64,
+    /// Limit of relays in progress per ready server, for when the limit of each one is below 1.
+    pub(crate) limit: f64,
+    /// End of the pause that spaces relays while the total limit is below 1.
+    pub(crate) rest_until: Moment,
+    /// Units per second, per unit of rating, that warm servers carried when there last were some.
+    pub(crate) throughput: f64,
+    /// Retries that may still be sent; earned by first relays.
+    pub(crate) retry_budget: f64,
 }
 
+/// Quota and ceiling of one customer, as seen by this gateway.
 #[derive(Default)]
 pub(crate) struct Customer {
+    /// Index of the plan of the latest job.
     pub(crate) plan: usize,
-    /// When its last job is over at the latest.
-    pub(crate) until: Moment,
-    pub(crate) set_first: u32,
+    /// Latest abandon time of its jobs.
+    pub(crate) active_until: Moment,
+    /// Index of the first gateway of its set.
+    pub(crate) first_gateway: u32,
+    /// Number of gateways in its set.
     pub(crate) set_size: f64,
-    /// The servers in this customer's order; with many gateways the fleet's slice stands for all.
+    /// Its order of servers; with many gateways, the fleet's subset is used instead.
     pub(crate) ranking: Ranking,
-    pub(crate) waiting: VecDeque<JobId>,
+    /// Jobs that wait for units of the quota, oldest first.
+    pub(crate) held_jobs: VecDeque<JobId>,
+    /// Number of the current window.
     pub(crate) window: u64,
-    pub(crate) began: Moment,
-    /// Units used through this gateway in the window, and how many of them the count was told.
+    /// Start of the current window.
+    pub(crate) window_start: Moment,
+    /// Units used through this gateway in the window, plus earlier ones not yet reported.
     pub(crate) used: f64,
-    pub(crate) told: f64,
-    /// The same of the count that the gateways keep among themselves.
-    pub(crate) told_among: f64,
-    /// Of the units used, those of former windows that no count was told of.
-    pub(crate) owed: f64,
-    /// The latest total heard in the window.
+    /// Units of `used` that were added to the total of the counter.
+    pub(crate) reported: f64,
+    /// Units of `used` that were added to the peer count.
+    pub(crate) reported_to_peers: f64,
+    /// Units of `used` that are from earlier windows and were never reported.
+    pub(crate) older_debt: f64,
+    /// Latest total known in the window.
     pub(crate) total: f64,
-    /// What the last window left unused, as far as known.
-    pub(crate) unused: f64,
-    pub(crate) ask: Option<Ask>,
-    /// Waits for its turn to call the counter.
+    /// Units that the last window left unused, as far as known.
+    pub(crate) last_unused: f64,
+    /// The call in progress.
+    pub(crate) call: Option<Call>,
+    /// Whether it waits in the queue of counter calls.
     pub(crate) queued: bool,
-    /// Not asked for before; and how far asks in vain are apart, in seconds.
-    pub(crate) shut: Moment,
-    pub(crate) apart: f64,
-    /// Units ahead of this gateway's part of the pace.
-    pub(crate) ahead: Level,
-    /// This gateway's own share of the ceiling, in units a second and at once, and what is spent of it.
+    /// No call is made before this time.
+    pub(crate) next_call: Moment,
+    /// Interval between calls that grant nothing, in seconds.
+    pub(crate) interval_s: f64,
+    /// Units granted here beyond what this gateway's share of the quota has refilled.
+    pub(crate) excess: Bucket,
+    /// This gateway's share of the ceiling: units per second and at once.
     pub(crate) ceiling: Option<(f64, f64)>,
-    pub(crate) spent: Level,
+    /// Units spent of that share and not yet refilled.
+    pub(crate) spent: Bucket,
 }
 
-/// Before a new customer comes in and whenever the records have doubled, those are let go that had no job for
-/// `kept`. One that still owes to its share of a ceiling stays.
-pub(crate) fn let_go(
+/// Drops customers without a job for `kept`, unless their share of a ceiling is still partly spent. Runs only before a
+/// new customer is added and when the number of customers is a power of two, so its cost per customer is constant.
+pub(crate) fn drop_idle_customers(
     customers: &mut BTreeMap<CustomerId, Customer>,
     new: CustomerId,
     now: Moment,
     kept: Span,
 ) {
     if customers.len().is_power_of_two() && !customers.contains_key(&new) {
-        customers.retain(|_, known| {
-            let owes = known.ceiling.is_some_and(|(rate, _)| known.spent.drained(rate, now) > 0.0);
-            owes || now < known.until + kept
+        customers.retain(|_, customer| {
+            let has_spent = customer.ceiling.is_some_and(|(rate, _)| customer.spent.drained(rate, now) > 0.0);
+            has_spent || now < customer.active_until + kept
         });
     }
 }
 
-/// A call to the counter that is out, and the jobs whose units it carries.
-pub(crate) struct Ask {
+/// A call to the counter or the peer count that is in progress.
+pub(crate) struct Call {
+    /// Jobs whose units the call requests, with their costs.
     pub(crate) jobs: Vec<(JobId, f64)>,
+    /// Units added by the call, including earlier unreported ones.
     pub(crate) amount: f64,
+    /// Window whose total the call concerns.
     pub(crate) window: u64,
+    /// What the call is for.
     pub(crate) step: Step,
+    /// When the call was sent.
     pub(crate) sent: Moment,
-    /// It went to the gateways' own count in place of the counter's.
-    pub(crate) among: bool,
+    /// Whether it went to the peer count instead of the counter.
+    pub(crate) to_peers: bool,
 }
 
 impl Customer {
-    /// How many of the units used the count was told, of the counter or of the gateways among themselves.
-    pub(crate) fn told(&mut self, among: bool) -> &mut f64 {
-        if among {
-            &mut self.told_among
+    /// Returns the units that were added to the peer count, or to the total of the counter.
+    pub(crate) fn reported(&mut self, to_peers: bool) -> &mut f64 {
+        if to_peers {
+            &mut self.reported_to_peers
         } else {
-            &mut self.told
+            &mut self.reported
         }
     }
 }
 
-/// What a call is for; with the total that it goes on from.
+/// What a call is for. The later steps carry the total to continue with.
 #[derive(Clone, Copy)]
 pub(crate) enum Step {
-    Count,
-    /// Reads the last window's count.
-    LookUp(f64),
-    /// Tells all what the burst lacked.
-    Tell(f64),
+    /// Adds units and returns the total.
+    Add,
+    /// Reads the last window's total.
+    ReadLastWindow(f64),
+    /// Adds the marker and the burst deficit at the start of the window, for all gateways.
+    AddDeficit(f64),
 }
 
+/// State of the calls to the counter.
 #[derive(Default)]
 pub(crate) struct Counter {
-    /// How long calls take of late, in seconds.
-    pub(crate) usual: f64,
-    pub(crate) out: f64,
-    /// Calls that may be out at once.
-    pub(crate) bound: f64,
-    /// What it was before calls began to fail in a row, and whether the latest was answered.
-    pub(crate) borne: f64,
-    pub(crate) answers: bool,
-    /// Rests until then where less than one call at a time is enough.
-    pub(crate) rested: Moment,
-    /// Calls had to wait of late: until then the gateways count among themselves, where they can.
-    pub(crate) spared: Moment,
-    /// Customers that wait for a call, by benefit, then time.
+    /// Mean duration of a call in seconds.
+    pub(crate) call_s: f64,
+    /// Calls in progress.
+    pub(crate) active: f64,
+    /// Limit of calls in progress; below 1, calls are spaced by pauses instead.
+    pub(crate) limit: f64,
+    /// The limit just after the first failure of the latest run of failures.
+    pub(crate) stable_limit: f64,
+    /// Whether the latest call was answered.
+    pub(crate) last_answered: bool,
+    /// End of the pause that spaces calls.
+    pub(crate) rest_until: Moment,
+    /// Until then peer counts are used, if available, as calls had to wait recently.
+    pub(crate) use_peers_until: Moment,
+    /// Customers that wait for a call, by benefit and time.
     pub(crate) queue: BTreeSet<(u64, Moment, CustomerId)>,
 }
 
+/// Units that customers left unused, lent to plans with free overage.
 #[derive(Default)]
 pub(crate) struct Pool {
-    /// Units to lend, and not before.
-    pub(crate) lent: f64,
-    pub(crate) lends_at: Moment,
-    pub(crate) draw: Option<(CounterKey, f64, Vec<JobId>)>,
+    /// Units to add to the next pool.
+    pub(crate) to_lend: f64,
+    /// Units are not added before this time.
+    pub(crate) next_lend: Moment,
+    /// The draw in progress: key of the pool, units drawn, jobs they are for.
+    pub(crate) pending_draw: Option<(CounterKey, f64, Vec<JobId>)>,
 }
 
 impl Server {
-    /// Gone, with nothing out and nothing sent for `kept`.
-    pub(crate) fn is_past(&self, now: Moment, kept: Span) -> bool {
-        self.entry.health == Health::Gone && self.out <= 0.0 && now >= self.tried + kept
+    /// Returns whether it is gone, without relays in progress and without a new one for `kept`.
+    pub(crate) fn can_be_dropped(&self, now: Moment, kept: Span) -> bool {
+        self.entry.health == Health::Gone && self.active <= 0.0 && now >= self.last_relay + kept
     }
 
-    pub(crate) fn ready(&self) -> bool {
+    /// Returns whether it accepts jobs.
+    pub(crate) fn is_ready(&self) -> bool {
         self.entry.health == Health::Ready
     }
 }
 
-/// An amount as of a moment, that shrinks.
+/// An amount that shrinks over time, linearly or exponentially.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Level {
+pub(crate) struct Bucket {
+    /// The amount at `at`.
     pub(crate) amount: f64,
+    /// When the amount was last set.
     pub(crate) at: Moment,
 }
 
-impl Level {
+impl Bucket {
+    /// Returns what is left if `rate` flows out per second.
     pub(crate) fn drained(self, rate: f64, now: Moment) -> f64 {
         (self.amount - rate * now.since(self.at).secs()).max(0.0)
     }
 
-    pub(crate) fn decayed(self, over: f64, now: Moment) -> f64 {
-        self.amount * (-now.since(self.at).secs() / over).exp()
+    /// Returns what is left after exponential decay with the given time constant.
+    pub(crate) fn decayed(self, time_constant_s: f64, now: Moment) -> f64 {
+        self.amount * (-now.since(self.at).secs() / time_constant_s).exp()
     }
 }
