--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,6 +1,6 @@
-//! Which servers a gateway among many uses, so that all together load each by its rating, although no gateway sees
-//! another's jobs. Pure: no I/O, no clock, no chance but hashing; the same roster and seats give the same slices at
-//! every gateway. `docs/spread.md` weighs the ways there are, with figures.
+//! Assigns each of many gateways a subset of the servers, so that together they load every server in proportion to
+//! its rating, although no gateway sees another's jobs. Pure functions without I/O, clock or random numbers: the same
+//! roster and positions give the same subsets at every gateway. `docs/spread.md` compares the alternatives.
 
 mod ring;
 mod subset;
@@ -8,19 +8,21 @@
 pub use ring::{assign_subset, Candidate, RingPosition, SubsetAssignment};
 pub use subset::Subset;
 
-/// How many servers of the mean rating a slice is to hold, from the relays a second that its gateway sends and the
-/// size `before` (0: none yet). Few jobs fall unevenly by chance, the less so the more gateways share each server: at
-/// one a second six even out best. Many even out by themselves, and then a large slice only costs: each of its servers
-/// is a connection to open, is heard of the more seldom, and is learnt to be bad by a lost job of this gateway's own.
-/// Figures for both in `docs/spread.md`.
+/// Returns the wanted size of a gateway's subset, in servers of the mean rating, from the relays per second that it
+/// sends and its `current` size (0 if it has none yet).
 ///
-/// There are three sizes, so that gateways of about one pace cover the ring in whole layers, and a size is kept until
-/// the pace is far from it: one that followed every move would open connections for nothing.
-pub fn subset_size(pace: f64, before: f64) -> f64 {
-    const AT_ONE_A_SECOND: f64 = 6.0;
-    let wanted = if pace > 0.0 { (AT_ONE_A_SECOND / pace).clamp(2.0, 6.0) } else { 6.0 };
-    if before > 0.0 && (0.6..=1.6).contains(&(wanted / before)) {
-        return before;
+/// At low rates, jobs spread unevenly by chance, the less so the more gateways share each server: at one relay per
+/// second, six servers spread best. High rates spread evenly anyway, and a large subset only costs: each server needs
+/// a connection, is measured less often, and is found to be bad only by losing one of this gateway's own jobs.
+/// Measurements of both effects are in `docs/spread.md`.
+///
+/// There are only three sizes, so that gateways with similar rates cover the ring in whole layers. A size is kept until
+/// the rate calls for a clearly different one, as every change opens connections.
+pub fn subset_size(relays_per_s: f64, current: f64) -> f64 {
+    const SIZE_AT_ONE_PER_S: f64 = 6.0;
+    let wanted = if relays_per_s > 0.0 { (SIZE_AT_ONE_PER_S / relays_per_s).clamp(2.0, 6.0) } else { 6.0 };
+    if current > 0.0 && (0.6..=1.6).contains(&(wanted / current)) {
+        return current;
     }
     match wanted {
         ..2.5 => 2.0,
@@ -29,38 +31,45 @@
     }
 }
 
-/// Relays a second of late, counted over some twenty seconds. Until it has seen its own a gateway counts with several
-/// a second: a slice that begins small grows at the cost of a connection, one that begins large has opened them all.
+/// Measures the recent rate of relays, averaged over about twenty seconds. A new gateway assumes several relays per
+/// second: a subset that starts small can grow for the price of a connection, but one that starts large has opened
+/// them all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RelayRate {
-    sent: f64,
-    /// Seconds of the clock that is handed in.
-    at: f64,
-    began: f64,
+    /// Relays so far, each weighted by exponential decay.
+    weighted_count: f64,
+    /// Time of the latest relay, in seconds of the caller's clock.
+    last_relay_s: f64,
+    /// When the measurement started.
+    started_s: f64,
 }
 
 impl RelayRate {
-    const OVER_S: f64 = 20.0;
-    /// So many relays in so many seconds are assumed at the start.
-    const FIRST: f64 = 3.0;
-    const FIRST_S: f64 = 1.0;
+    const TIME_CONSTANT_S: f64 = 20.0;
+    /// The number of relays assumed at the start, and the period they are assumed to have been sent in.
+    const INITIAL_COUNT: f64 = 3.0;
+    const INITIAL_PERIOD_S: f64 = 1.0;
 
+    /// Starts the measurement at `now_s`.
     pub fn new(now_s: f64) -> Self {
-        Self { sent: Self::FIRST, at: now_s, began: now_s }
+        Self { weighted_count: Self::INITIAL_COUNT, last_relay_s: now_s, started_s: now_s }
     }
 
+    /// Counts a relay that is sent at `now_s`.
     pub fn record(&mut self, now_s: f64) {
-        self.sent = self.sent * Self::left(now_s - self.at) + 1.0;
-        self.at = self.at.max(now_s);
+        self.weighted_count = self.weighted_count * Self::decay(now_s - self.last_relay_s) + 1.0;
+        self.last_relay_s = self.last_relay_s.max(now_s);
     }
 
-    fn left(passed: f64) -> f64 {
-        (-passed.max(0.0) / Self::OVER_S).exp()
+    fn decay(elapsed_s: f64) -> f64 {
+        (-elapsed_s.max(0.0) / Self::TIME_CONSTANT_S).exp()
     }
 
+    /// Returns the rate at `now_s` in relays per second.
     pub fn per_second(&self, now_s: f64) -> f64 {
-        let over = Self::OVER_S - (Self::OVER_S - Self::FIRST_S) * Self::left(now_s - self.began);
-        self.sent * Self::left(now_s - self.at) / over
+        let period_s = Self::TIME_CONSTANT_S
+            - (Self::TIME_CONSTANT_S - Self::INITIAL_PERIOD_S) * Self::decay(now_s - self.started_s);
+        self.weighted_count * Self::decay(now_s - self.last_relay_s) / period_s
     }
 }
 
--- a/crates/spread/src/ring.rs
+++ b/crates/spread/src/ring.rs
@@ -1,147 +1,156 @@
-//! The ring: servers laid end to end, each as long as its rating, and every gateway's arc on it. All arcs have one
-//! length, begin evenly apart and overlap, so that each point lies in as many arcs as any other; the servers at an
-//! arc's ends are used in part.
+//! Places servers on a ring, each with an arc as long as its rating, and cuts one arc out of it per gateway. The
+//! gateways' arcs have the same length, start at equal distances and overlap, so that every point of the ring is in the
+//! same number of arcs. Servers at the ends of an arc are used in part.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// A server that may be given jobs. `rating` is comparable across servers; one that is no number or not above
-/// nothing counts as 1.
+/// A server that may get jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
+    /// Id of the server.
     pub server: u32,
+    /// Relative capacity, comparable across servers. Numbers that are not positive and finite count as 1.
     pub rating: f64,
+    /// Zone the server is in.
     pub zone: u16,
 }
 
-/// A gateway's place on the ring, from 0, among `of` gateways that spread the load.
+/// The position of a gateway on the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingPosition {
+    /// Index of the position, from 0.
     pub index: u32,
+    /// Number of gateways that share the ring.
     pub count: u32,
 }
 
 impl RingPosition {
-    /// Among all of a deployment's gateways, by number.
+    /// Returns the position of gateway `own` if all gateways, numbered from 0, share the ring.
     pub fn among_all(own: u32, gateways: u32) -> Self {
         Self::among(own, 0..gateways)
     }
 
-    /// Among those that are there; `own` need not be named. Each gateway has a mark of its own and they sit in the
-    /// order of their marks: when one goes, the others move by less than its place. Marks of numbers in a row lie far
-    /// apart (by the golden section): gateways of one zone, or of one customer's set, mostly have such numbers, and
-    /// what hits all of them must not leave one stretch of the ring without arcs.
-    pub fn among(own: u32, there: impl Iterator<Item = u32>) -> Self {
-        const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
-        let mark = |number: u32| u64::from(number).wrapping_mul(GOLDEN);
-        let (mut place, mut of) = (0, 1);
-        for number in there.filter(|number| *number != own) {
-            place += u32::from(mark(number) < mark(own));
-            of += 1;
+    /// Returns the position of gateway `own` among the gateways in `present`, which need not contain it.
+    ///
+    /// Each gateway has a fixed key, and positions follow the order of the keys: when one gateway leaves, the others move
+    /// by less than one position. Keys of consecutive numbers are far apart (by the golden ratio): gateways of one zone, or
+    /// of one customer's set, mostly have consecutive numbers, and a failure of all of them must not leave a stretch of the
+    /// ring uncovered.
+    pub fn among(own: u32, present: impl Iterator<Item = u32>) -> Self {
+        const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+        let key = |number: u32| u64::from(number).wrapping_mul(GOLDEN_RATIO);
+        let (mut index, mut count) = (0, 1);
+        for number in present.filter(|number| *number != own) {
+            index += u32::from(key(number) < key(own));
+            count += 1;
         }
-        Self { index: place, count: of }
+        Self { index, count }
     }
 
-    /// Where its arc begins, as a part of the ring: all evenly apart.
-    fn begins(self) -> f64 {
-        let of = self.count.max(1);
-        f64::from(self.index % of) / f64::from(of)
+    /// Returns where the gateway's arc starts, as a fraction of the ring.
+    fn arc_start(self) -> f64 {
+        let count = self.count.max(1);
+        f64::from(self.index % count) / f64::from(count)
     }
 }
 
-/// What a gateway uses of the ring.
+/// The servers that a gateway uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubsetAssignment {
-    /// The servers of its arc and the share of its jobs that each is to get; the shares sum to 1.
+    /// Servers in the gateway's arc, each with the share of its jobs that it should get; the shares sum to 1.
     pub shares: Vec<(u32, f64)>,
-    /// All others, from the end of the arc on: where to go while the slice has nobody well, nearest first.
+    /// All other servers from the end of the arc on, nearest first, for while no server of the arc is usable.
     pub fallback: Vec<u32>,
 }
 
-pub(crate) fn hashed(parts: &[u64]) -> u64 {
+/// Returns a hash of the numbers that is the same at every gateway.
+pub(crate) fn hash_of(parts: &[u64]) -> u64 {
     let mut hasher = DefaultHasher::new();
     parts.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Between 0 and 1.
-pub(crate) fn part_of_one(hash: u64) -> f64 {
+/// Maps a hash to [0, 1).
+pub(crate) fn unit_fraction(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn rated(member: &Candidate) -> f64 {
-    if member.rating > 0.0 && member.rating.is_finite() {
-        member.rating
+fn effective_rating(server: &Candidate) -> f64 {
+    if server.rating > 0.0 && server.rating.is_finite() {
+        server.rating
     } else {
         1.0
     }
 }
 
-/// The order of the ring: by hash within a zone, the zones dealt through one another, so that every arc has its part
-/// of every zone and the loss of one leaves no arc empty.
-fn order(members: &[Candidate]) -> Vec<Candidate> {
+/// Returns the servers in ring order: by hash within a zone, with the zones interleaved, so that every arc contains its
+/// part of every zone and the loss of a zone empties no arc.
+fn ring_order(servers: &[Candidate]) -> Vec<Candidate> {
     let mut zones: BTreeMap<u16, Vec<Candidate>> = BTreeMap::new();
-    for member in members {
-        zones.entry(member.zone).or_default().push(*member);
+    for server in servers {
+        zones.entry(server.zone).or_default().push(*server);
     }
-    let mut placed = Vec::with_capacity(members.len());
-    for (zone, mut within) in zones {
-        within.sort_by_cached_key(|member| (hashed(&[u64::from(member.server)]), member.server));
-        within.dedup_by_key(|member| member.server);
-        let whole: f64 = within.iter().map(rated).sum();
+    let mut placed = Vec::with_capacity(servers.len());
+    for (zone, mut in_zone) in zones {
+        in_zone.sort_by_cached_key(|server| (hash_of(&[u64::from(server.server)]), server.server));
+        in_zone.dedup_by_key(|server| server.server);
+        let zone_rating: f64 = in_zone.iter().map(effective_rating).sum();
         let mut before = 0.0;
-        for member in within {
-            // The middle of its length, as a part of its zone's.
-            placed.push(((before + rated(&member) / 2.0) / whole, zone, member));
-            before += rated(&member);
+        for server in in_zone {
+            // Middle of its arc, as a fraction of the total length of its zone.
+            placed.push(((before + effective_rating(&server) / 2.0) / zone_rating, zone, server));
+            before += effective_rating(&server);
         }
     }
     placed.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.server.cmp(&b.2.server)));
-    // A server listed in two zones would be laid twice.
-    let mut known = std::collections::BTreeSet::new();
-    placed.into_iter().map(|it| it.2).filter(|member| known.insert(member.server)).collect()
+    // A server that is listed in two zones must not be placed twice.
+    let mut seen = std::collections::BTreeSet::new();
+    placed.into_iter().map(|it| it.2).filter(|server| seen.insert(server.server)).collect()
 }
 
-/// Cuts a gateway's slice of the roster: `least` servers of the mean rating or a little more, as far as there are.
-pub fn assign_subset(members: &[Candidate], seat: RingPosition, least: f64) -> SubsetAssignment {
-    let ring = order(members);
+/// Assigns a gateway its servers: at least `min_servers` of the mean rating, and hardly more, if there are as many.
+pub fn assign_subset(servers: &[Candidate], position: RingPosition, min_servers: f64) -> SubsetAssignment {
+    let ring = ring_order(servers);
     if ring.is_empty() {
         return SubsetAssignment::default();
     }
-    let whole: f64 = ring.iter().map(rated).sum();
-    let (many, of) = (ring.len() as f64, f64::from(seat.count.max(1)));
-    // A whole number of arcs over every point of the ring: else some would be covered once more than others.
-    // `max` also takes what is no number for one.
-    let layers = (least / many * of).ceil().max(1.0).min(of);
-    let (from, length) = (seat.begins() * whole, layers / of * whole);
-    let (mut slice, mut beyond) = (Vec::new(), Vec::new());
-    let mut at = 0.0;
-    // Once round from the arc's first server; that one may hold the arc's end as well.
-    let mut starts = Vec::with_capacity(ring.len());
-    for member in &ring {
-        starts.push(at);
-        at += rated(member);
+    let ring_length: f64 = ring.iter().map(effective_rating).sum();
+    let (server_count, gateways) = (ring.len() as f64, f64::from(position.count.max(1)));
+    // Every point must be in the same whole number of arcs, or some would get more jobs than others. `max` turns NaN
+    // into 1.
+    let layers = (min_servers / server_count * gateways).ceil().max(1.0).min(gateways);
+    let (arc_start, arc_length) = (position.arc_start() * ring_length, layers / gateways * ring_length);
+    let (mut shares, mut fallback) = (Vec::new(), Vec::new());
+    let mut next_start = 0.0;
+    // Go round once from the first server of the arc, which may also contain the arc's end.
+    let mut server_starts = Vec::with_capacity(ring.len());
+    for server in &ring {
+        server_starts.push(next_start);
+        next_start += effective_rating(server);
     }
-    let first = starts.partition_point(|start| *start <= from).saturating_sub(1);
+    let first = server_starts.partition_point(|server_start| *server_start <= arc_start).saturating_sub(1);
     for step in 0..ring.len() {
         let index = (first + step) % ring.len();
-        let (start, long) = (starts[index], rated(&ring[index]));
-        let inside = overlap(start, long, from, length, whole);
-        // What rounding leaves of a server is no share.
-        if inside > whole * 1e-9 {
-            slice.push((ring[index].server, inside / length));
+        let (server_start, server_length) = (server_starts[index], effective_rating(&ring[index]));
+        let covered = overlap(server_start, server_length, arc_start, arc_length, ring_length);
+        // A remainder from rounding is not a share.
+        if covered > ring_length * 1e-9 {
+            shares.push((ring[index].server, covered / arc_length));
         } else {
-            beyond.push(ring[index].server);
+            fallback.push(ring[index].server);
         }
     }
-    SubsetAssignment { shares: slice, fallback: beyond }
+    SubsetAssignment { shares, fallback }
 }
 
-/// How much of a server lies in an arc that may go over the ring's end.
-fn overlap(start: f64, long: f64, from: f64, length: f64, whole: f64) -> f64 {
-    let part = |from: f64, until: f64| ((start + long).min(until) - start.max(from)).max(0.0);
-    part(from, (from + length).min(whole)) + part(0.0, from + length - whole)
+/// Returns how much of a server lies in an arc that may wrap around the end of the ring.
+fn overlap(server_start: f64, server_length: f64, arc_start: f64, arc_length: f64, ring_length: f64) -> f64 {
+    let covered =
+        |from: f64, until: f64| ((server_start + server_length).min(until) - server_start.max(from)).max(0.0);
+    covered(arc_start, (arc_start + arc_length).min(ring_length))
+        + covered(0.0, arc_start + arc_length - ring_length)
 }
 
 #[cfg(test)]
