--- a/crates/launch/src/operator/tests.rs
+++ b/crates/launch/src/operator/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_cannot_be_meant_is_refused_with_file_line_and_reason() {
+fn invalid_files_are_refused_with_file_line_and_reason() {
     let whole = "[membership]\non = true\ncounts = true\nshares = false\n";
     let membership = Membership { enabled: true, peer_counting: true, share_quotas: false };
     assert_eq!(OperatorConfig::parse("a.toml", whole), Ok(OperatorConfig { membership }));
@@ -14,10 +14,10 @@
         ("# off\n[membership]\ncounts = true\n", 2, "need membership.on"),
         ("[membership\n", 1, "unclosed"),
     ] {
-        let mistake = OperatorConfig::parse("a.toml", text).unwrap_err();
-        assert!(mistake.line == line && mistake.reason.contains(reason), "{text}: {mistake}");
-        assert!(mistake.to_string().starts_with(&format!("a.toml:{line}: ")));
+        let error = OperatorConfig::parse("a.toml", text).unwrap_err();
+        assert!(error.line == line && error.reason.contains(reason), "{text}: {error}");
+        assert!(error.to_string().starts_with(&format!("a.toml:{line}: ")));
     }
-    let mistake = OperatorConfig::read(Path::new("/no/such/operator.toml")).unwrap_err();
-    assert!(mistake.to_string().starts_with("/no/such/operator.toml: "), "{mistake}");
+    let error = OperatorConfig::read(Path::new("/no/such/operator.toml")).unwrap_err();
+    assert!(error.to_string().starts_with("/no/such/operator.toml: "), "{error}");
 }
--- a/crates/launch/tests/settings.rs
+++ b/crates/launch/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings as the benches write them: dear prices and keys this gateway does not read, and figures it cannot read.
+//! Settings documents as benchmark programs write them, with unknown keys and invalid numbers.
 
 use fennelgauge_launch::LaunchSettings;
 
-/// A deployment of two plans, with `more` spliced into its `extra` table and at its top.
+/// Returns the settings of a deployment with two plans; `more_extra` is appended to `extra`, `more_top` at the top level.
 fn settings(more_extra: &str, more_top: &str, price: &str) -> String {
     format!(
         r#"{{"balancers":100,"self_index":7,"tick":1000,"discovery":"automatic","zones":["east","west"],
@@ -23,39 +23,40 @@
     serde_json::from_str(text)
 }
 
-/// The vast days tell dearer prices for probes, handshakes and lists, and the counter's price, in keys that this
-/// gateway does not read. They must neither stop its start nor change what it decides by.
+/// Benchmarks of large deployments add prices of probes, handshakes, lists and counter calls in keys that this gateway
+/// does not read. They must neither prevent its start nor change its settings.
 #[test]
-fn dear_prices_and_unknown_keys_change_nothing() {
+fn unknown_keys_change_nothing() {
     let plain = read(&settings("", "", "0.72")).expect("plain settings");
-    let dear = settings(
+    let extended = settings(
         r#","counter_price":0.4,"probe_price":0.05,"handshake_price":0.03,"list_price":[0.02,0.08],"settles":2"#,
         r#","prices":{"probe":0.05,"handshake":0.03,"list":0.02,"peer":0.03},"days":{"vast":true}"#,
         "0.72",
     );
-    let dear = read(&dear).expect("settings with dear prices");
-    assert_eq!(format!("{:?}", plain.deployment), format!("{:?}", dear.deployment));
-    assert_eq!(plain.plan_names, dear.plan_names);
-    assert_eq!(dear.plan_names, ["paddock", "pit-lane"]);
-    assert_eq!(dear.counter_timeout.micros(), 30_000);
-    assert_eq!(dear.deployment.gateway_count, 100);
+    let extended = read(&extended).expect("settings with unknown keys");
+    assert_eq!(format!("{:?}", plain.deployment), format!("{:?}", extended.deployment));
+    assert_eq!(plain.plan_names, extended.plan_names);
+    assert_eq!(extended.plan_names, ["paddock", "pit-lane"]);
+    assert_eq!(extended.counter_timeout.micros(), 30_000);
+    assert_eq!(extended.deployment.gateway_count, 100);
 }
 
-/// A figure that the gateway reads but cannot parse is an error that says what was wanted and where, never a
-/// guess: a price read as nothing would let a plan's jobs be judged as worth nothing.
+/// A number that cannot be parsed is an error that names the expected type and the line, never replaced by a default:
+/// a price of 0 would make all jobs of the plan worthless.
 #[test]
-fn a_figure_that_cannot_be_read_is_named_with_its_place() {
-    for (price, wanted) in [(r#""dear""#, "expected f64"), ("1e999", "out of range"), ("[1]", "expected f64")]
+fn an_invalid_number_is_reported_with_its_line() {
+    for (price, expected) in
+        [(r#""dear""#, "expected f64"), ("1e999", "out of range"), ("[1]", "expected f64")]
     {
         let Err(error) = read(&settings("", "", price)) else { panic!("{price} was read as a price") };
-        let told = error.to_string();
-        assert!(told.contains(wanted) && told.contains("line 4"), "{price}: {told}");
+        let message = error.to_string();
+        assert!(message.contains(expected) && message.contains("line 4"), "{price}: {message}");
     }
 }
 
-/// Prices below nothing are read as nothing, and absent keys as the plainest deployment: one gateway.
+/// Negative prices are read as 0, and a document without keys as one gateway without plans.
 #[test]
-fn figures_out_of_their_range_are_held_to_it() {
+fn values_out_of_range_are_clamped_and_absent_keys_have_defaults() {
     let launch = read(&settings("", "", "-3")).expect("a negative price");
     assert_eq!(launch.deployment.plans[0].price, 0.0);
     let empty = read("{}").expect("no keys at all");
