--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -1,39 +1,54 @@
-//! Frames: a header, records of one size, a tail.
+//! The binary frames of the benchmark protocol, all integers little-endian.
+//!
+//! A frame of events is a header, records of a fixed size, and a tail that records point into for variable parts. A
+//! frame of actions is a shorter header and records of a fixed size.
 
 use std::io::{self, Read};
 
-const HEADER: usize = 20;
-pub const EVENT: usize = 48;
-pub const ACTION: usize = 24;
-
+/// Bytes of the header of an event frame: number, length of what follows, count of records, clock.
+const EVENT_HEADER_SIZE: usize = 20;
+/// Bytes of the number and the length, which the length does not count.
+const PREFIX_SIZE: usize = 8;
+/// Bytes of the header of an action frame: number, length of what follows, count of records.
+const ACTION_HEADER_SIZE: usize = 12;
+/// Bytes of an event record.
+pub const EVENT_SIZE: usize = 48;
+/// Bytes of an action record.
+pub const ACTION_SIZE: usize = 24;
+
+/// A frame of events that happen at the same time.
 pub struct Batch {
+    /// Number of the frame, which the reply repeats.
     pub number: u32,
+    /// Time of the events in microseconds.
     pub clock: u64,
     count: usize,
     body: Vec<u8>,
 }
 
-/// One record and the tail that its variable parts stand in.
+/// One record, and the tail that contains its variable parts. Fields beyond the record's end read as 0.
 #[derive(Clone, Copy)]
 pub struct Record<'a> {
     bytes: &'a [u8],
     tail: &'a [u8],
 }
 
-/// Reads a frame; none at the end of input.
+/// Reads a frame, or `None` at the end of the input. A frame that is cut short or inconsistent is an error.
 pub fn read(input: &mut impl Read) -> io::Result<Option<Batch>> {
-    let mut head = [0; HEADER];
-    let mut got = 0;
-    while got < HEADER {
-        match input.read(&mut head[got..])? {
-            0 if got == 0 => return Ok(None),
-            0 => return Err(malformed(format!("input ends {got} bytes into a header"))),
-            n => got += n,
+    let mut header = [0; EVENT_HEADER_SIZE];
+    let mut read = 0;
+    while read < EVENT_HEADER_SIZE {
+        match input.read(&mut header[read..])? {
+            0 if read == 0 => return Ok(None),
+            0 => return Err(malformed(format!("input ends {read} bytes into a header"))),
+            n => read += n,
         }
     }
-    let head = Record { bytes: &head, tail: &[] };
-    let (number, length, count) = (head.u32(0), head.u32(4) as usize, head.u32(8) as usize);
-    let Some(rest) = length.checked_sub(HEADER - 8).filter(|&rest| rest / EVENT >= count) else {
+    let header = Record { bytes: &header, tail: &[] };
+    let (number, length, count) = (header.u32(0), header.u32(4) as usize, header.u32(8) as usize);
+    let Some(rest) =
+        length.checked_sub(EVENT_HEADER_SIZE - PREFIX_SIZE).filter(|&rest| rest / EVENT_SIZE >= count)
+    else {
         return Err(malformed(format!("batch {number}: {count} records do not fit {length} bytes")));
     };
     let mut body = Vec::new();
@@ -41,65 +56,73 @@
     if body.len() < rest {
         return Err(malformed(format!("batch {number}: input ends {} bytes short", rest - body.len())));
     }
-    Ok(Some(Batch { number, clock: head.u64(12), count, body }))
+    Ok(Some(Batch { number, clock: header.u64(12), count, body }))
 }
 
-fn malformed(what: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn malformed(message: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
 impl Batch {
+    /// Returns the records in their order.
     pub fn records(&self) -> impl Iterator<Item = Record<'_>> {
-        let (records, tail) = self.body.split_at(self.count * EVENT);
-        records.chunks_exact(EVENT).map(move |bytes| Record { bytes, tail })
+        let (records, tail) = self.body.split_at(self.count * EVENT_SIZE);
+        records.chunks_exact(EVENT_SIZE).map(move |bytes| Record { bytes, tail })
     }
 }
 
 impl<'a> Record<'a> {
-    fn fixed<const N: usize>(&self, at: usize) -> [u8; N] {
+    /// Returns `N` bytes at an offset, or zeros if the record ends before.
+    fn fixed<const N: usize>(&self, offset: usize) -> [u8; N] {
         let mut out = [0; N];
-        if let Some(bytes) = self.bytes.get(at..at + N) {
+        if let Some(bytes) = self.bytes.get(offset..offset + N) {
             out.copy_from_slice(bytes);
         }
         out
     }
 
-    pub fn u8(&self, at: usize) -> u8 {
-        self.fixed::<1>(at)[0]
+    /// Returns the `u8` at an offset.
+    pub fn u8(&self, offset: usize) -> u8 {
+        self.fixed::<1>(offset)[0]
     }
 
-    pub fn u16(&self, at: usize) -> u16 {
-        u16::from_le_bytes(self.fixed(at))
+    /// Returns the `u16` at an offset.
+    pub fn u16(&self, offset: usize) -> u16 {
+        u16::from_le_bytes(self.fixed(offset))
     }
 
-    pub fn u32(&self, at: usize) -> u32 {
-        u32::from_le_bytes(self.fixed(at))
+    /// Returns the `u32` at an offset.
+    pub fn u32(&self, offset: usize) -> u32 {
+        u32::from_le_bytes(self.fixed(offset))
     }
 
-    pub fn u64(&self, at: usize) -> u64 {
-        u64::from_le_bytes(self.fixed(at))
+    /// Returns the `u64` at an offset.
+    pub fn u64(&self, offset: usize) -> u64 {
+        u64::from_le_bytes(self.fixed(offset))
     }
 
-    pub fn f32(&self, at: usize) -> f32 {
-        f32::from_le_bytes(self.fixed(at))
+    /// Returns the `f32` at an offset.
+    pub fn f32(&self, offset: usize) -> f32 {
+        f32::from_le_bytes(self.fixed(offset))
     }
 
-    /// The part of the tail that the field at `at` points to, in pieces of `size` bytes.
-    pub fn pieces(&self, at: usize, size: usize) -> Option<impl Iterator<Item = Record<'a>>> {
-        let (start, count) = (self.u32(at) as usize, self.u32(at + 4) as usize);
+    /// Returns the list that the field at `offset` points to (start in the tail, number of items), as records of `size`
+    /// bytes; `None` if it is out of bounds.
+    pub fn items(&self, offset: usize, size: usize) -> Option<impl Iterator<Item = Record<'a>>> {
+        let (start, count) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         let end = count.checked_mul(size)?.checked_add(start)?;
         let part = self.tail.get(start..end)?;
         Some(part.chunks_exact(size).map(|bytes| Record { bytes, tail: &[] }))
     }
 
-    /// The bytes of the tail that the field at `at` points to.
-    pub fn bytes(&self, at: usize) -> Option<&'a [u8]> {
-        let (start, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
+    /// Returns the bytes that the field at `offset` points to (start in the tail, length); `None` if out of bounds.
+    pub fn bytes(&self, offset: usize) -> Option<&'a [u8]> {
+        let (start, length) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         self.tail.get(start..start.checked_add(length)?)
     }
 }
 
-/// A reply being written.
+/// A frame of actions under construction.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -107,9 +130,9 @@
 }
 
 impl Reply {
-    /// Appends one record: its code, its fields back to back, zeros to its size.
+    /// Appends a record: its code, its fields without gaps, and zeros up to the size of a record.
     pub fn push(&mut self, code: u16, fields: &[&[u8]]) {
-        let end = self.records.len() + ACTION;
+        let end = self.records.len() + ACTION_SIZE;
         self.records.extend_from_slice(&code.to_le_bytes());
         for field in fields {
             self.records.extend_from_slice(field);
@@ -118,15 +141,17 @@
         self.count += 1;
     }
 
-    /// The frame for batch `number`; the next reply starts empty.
+    /// Returns the frame that answers batch `number`, and starts an empty one.
     pub fn finish(&mut self, number: u32) -> Vec<u8> {
-        let mut out = Vec::with_capacity(12 + self.records.len());
-        out.extend_from_slice(&number.to_le_bytes());
-        out.extend_from_slice(&(self.records.len() as u32 + 4).to_le_bytes());
-        out.extend_from_slice(&self.count.to_le_bytes());
-        out.append(&mut self.records);
+        let mut frame = Vec::with_capacity(ACTION_HEADER_SIZE + self.records.len());
+        frame.extend_from_slice(&number.to_le_bytes());
+        frame.extend_from_slice(
+            &(self.records.len() as u32 + (ACTION_HEADER_SIZE - PREFIX_SIZE) as u32).to_le_bytes(),
+        );
+        frame.extend_from_slice(&self.count.to_le_bytes());
+        frame.append(&mut self.records);
         self.count = 0;
-        out
+        frame
     }
 }
 
--- a/crates/benchlink/src/frame/tests.rs
+++ b/crates/benchlink/src/frame/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_empty_batch_and_its_reply_are_as_the_page_shows() {
+fn an_empty_batch_and_its_reply_match_the_specification() {
     let bytes = b"\x01\0\0\0\x0c\0\0\0\0\0\0\0\x5a\x5c\x80\0\0\0\0\0";
     let batch = read(&mut &bytes[..]).unwrap().unwrap();
     assert_eq!((batch.number, batch.clock, batch.records().count()), (1, 0x805c5a, 0));
@@ -9,15 +9,15 @@
 }
 
 #[test]
-fn short_and_overfull_frames_are_told_not_read() {
+fn short_and_inconsistent_frames_are_errors() {
     assert!(read(&mut &b"\x01\0\0"[..]).is_err());
-    let overfull = b"\x01\0\0\0\x0c\0\0\0\x01\0\0\0\0\0\0\0\0\0\0\0";
-    assert!(read(&mut &overfull[..]).is_err());
+    let too_many_records = b"\x01\0\0\0\x0c\0\0\0\x01\0\0\0\0\0\0\0\0\0\0\0";
+    assert!(read(&mut &too_many_records[..]).is_err());
     assert!(read(&mut &b""[..]).unwrap().is_none());
 }
 
 #[test]
-fn a_relay_is_written_as_the_page_shows() {
+fn a_relay_record_matches_the_specification() {
     let mut reply = Reply::default();
     let fields: [&[u8]; 4] =
         [b"\x03\0", b"\xc4\x91\x3a\x5d\x70\x9c\x05\0", b"\x07\x4a\x12\x03", b"\x80\x38\x01\0"];
