--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -45,9 +45,12 @@
             sleep(FOLLOW_WAIT).await;
             continue;
         };
-        let have = KnownVersions { generation: u64::MAX,
+        let have = KnownVersions {
+            generation: u64::MAX,
             store_view: u64::MAX,
-            core_view: u64::MAX, ..core.known.known_versions() };
+            core_view: u64::MAX,
+            ..core.known.known_versions()
+        };
         let watch = Request::Watch(WatchRequest { known: have, wait_ms: FOLLOW_WAIT.as_millis() as u64 });
         match core.caller.call(head.peer, watch, FOLLOW_WAIT * 2).await {
             Ok(Reply::Watch(news)) => {
--- a/crates/upstream/src/clock.rs
+++ b/crates/upstream/src/clock.rs
@@ -1,56 +1,57 @@
-//! The time of day. It is near true time only, and differs between machines: nothing that must hold may rest on it.
+//! The time of day without steps of the machine's clock. It is approximate and differs between machines, so correctness must not
+//! depend on it.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A larger difference from the steady clock is a step of the time of day.
-const STEP: Duration = Duration::from_millis(300);
-/// A step that has lasted for so long is believed.
-const BELIEVED_AFTER: Duration = Duration::from_secs(120);
+/// A larger deviation of the system clock from the expected time is taken for a step.
+const STEP_THRESHOLD: Duration = Duration::from_millis(300);
+/// A step that lasts for this long is accepted as the new time.
+const STEP_ACCEPTED_AFTER: Duration = Duration::from_secs(120);
 
 thread_local! {
     static CLOCK: RefCell<Option<(Instant, WallClock)>> = const { RefCell::new(None) };
 }
 
-/// Since the start of 1970, as far as this machine knows. When the time of day steps, the steady clock counts on, until the step
-/// has lasted for two minutes.
+/// Returns the time since the Unix epoch. After a step of the system clock, time continues by the monotonic clock until the step has
+/// lasted for two minutes.
 pub fn wall_clock() -> Duration {
-    let told = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     CLOCK.with_borrow_mut(|clock| {
-        let (began, clock) = clock.get_or_insert_with(|| (Instant::now(), WallClock::new(told)));
-        clock.read(began.elapsed(), told)
+        let (started, clock) = clock.get_or_insert_with(|| (Instant::now(), WallClock::new(system)));
+        clock.read(started.elapsed(), system)
     })
 }
 
-/// Tells the time of day without its steps.
+/// Filters steps out of the system clock with the help of the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct WallClock {
-    /// The time of day less the steady clock's.
+    /// Time of day minus monotonic time.
     offset: Duration,
-    /// Since when, on the steady clock, the time of day is elsewhere.
+    /// Monotonic time at which the current step was first seen.
     stepped_at: Option<Duration>,
 }
 
 impl WallClock {
-    /// Begins with the time of day when the steady clock reads zero.
-    pub fn new(told: Duration) -> Self {
-        Self { offset: told, stepped_at: None }
+    /// Creates a clock; `system` is the time of day at monotonic time zero.
+    pub fn new(system: Duration) -> Self {
+        Self { offset: system, stepped_at: None }
     }
 
-    /// The time of day, from the steady clock's time and what the machine says.
-    pub fn read(&mut self, steady: Duration, told: Duration) -> Duration {
-        let expected = self.offset + steady;
-        if told.abs_diff(expected) <= STEP {
+    /// Returns the time of day, given the current monotonic time and system time.
+    pub fn read(&mut self, monotonic: Duration, system: Duration) -> Duration {
+        let expected = self.offset + monotonic;
+        if system.abs_diff(expected) <= STEP_THRESHOLD {
             self.stepped_at = None;
-            self.offset = told.saturating_sub(steady);
-            return told;
+            self.offset = system.saturating_sub(monotonic);
+            return system;
         }
-        let since = *self.stepped_at.get_or_insert(steady);
-        if steady.saturating_sub(since) < BELIEVED_AFTER {
+        let stepped_at = *self.stepped_at.get_or_insert(monotonic);
+        if monotonic.saturating_sub(stepped_at) < STEP_ACCEPTED_AFTER {
             return expected;
         }
         self.stepped_at = None;
-        self.offset = told.saturating_sub(steady);
-        told
+        self.offset = system.saturating_sub(monotonic);
+        system
     }
 }
--- a/crates/upstream/src/connect_timeout.rs
+++ b/crates/upstream/src/connect_timeout.rs
@@ -1,45 +1,46 @@
-//! How long the opening of a connection is waited for: what it usually takes, with room for its scatter. Pure.
+//! Adaptive timeout for opening connections, derived from the duration of earlier attempts and their variation.
 
 use std::time::Duration;
 
 use crate::duration_estimator::DurationEstimator;
 
-/// Before anything is known, and at most.
-const LONGEST: Duration = Duration::from_millis(300);
-/// At least: a process that has a small part of a core is late by some tens of milliseconds now and then.
-const SHORTEST: Duration = Duration::from_millis(50);
-/// With each attempt in a row that was given up the patience doubles, so often at most.
-const MOST_DOUBLINGS: u32 = 3;
+/// Upper bound, which also applies before any attempt has ended.
+const MAX_TIMEOUT: Duration = Duration::from_millis(300);
+/// Lower bound. A process with a small share of a core is now and then delayed by some tens of milliseconds.
+const MIN_TIMEOUT: Duration = Duration::from_millis(50);
+/// The timeout doubles with each consecutive attempt that timed out, at most this many times.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// The times that attempts took.
+/// Estimates the timeout for the next attempt.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ConnectTimes {
+pub(crate) struct ConnectTimeout {
     adaptive: bool,
-    usual: DurationEstimator,
-    given_up: u32,
+    estimator: DurationEstimator,
+    /// Number of consecutive attempts that timed out, at most [`MAX_DOUBLINGS`].
+    timeouts: u32,
 }
 
-impl ConnectTimes {
-    /// Not adaptive: the patience is always the longest.
+impl ConnectTimeout {
+    /// Creates an estimator. If `adaptive` is false, the timeout is always [`MAX_TIMEOUT`].
     pub fn new(adaptive: bool) -> Self {
         Self { adaptive, ..Self::default() }
     }
 
-    /// An attempt came to an end, opened or refused, after that time.
-    pub fn took(&mut self, time: Duration) {
-        self.given_up = 0;
-        self.usual.record(time);
+    /// Records an attempt that ended after `duration`, either connected or refused.
+    pub fn record_completed(&mut self, duration: Duration) {
+        self.timeouts = 0;
+        self.estimator.record(duration);
     }
 
-    /// An attempt was given up.
-    pub fn timed_out(&mut self) {
-        self.given_up = (self.given_up + 1).min(MOST_DOUBLINGS);
+    /// Records an attempt that timed out.
+    pub fn record_timeout(&mut self) {
+        self.timeouts = (self.timeouts + 1).min(MAX_DOUBLINGS);
     }
 
-    /// How long the next attempt is waited for.
-    pub fn patience(&self) -> Duration {
-        let Some(usual) = self.usual.upper_bound().filter(|_| self.adaptive) else { return LONGEST };
-        (usual.max(SHORTEST) * 2_u32.pow(self.given_up)).min(LONGEST)
+    /// Returns the timeout for the next attempt.
+    pub fn timeout(&self) -> Duration {
+        let Some(bound) = self.estimator.upper_bound().filter(|_| self.adaptive) else { return MAX_TIMEOUT };
+        (bound.max(MIN_TIMEOUT) * 2_u32.pow(self.timeouts)).min(MAX_TIMEOUT)
     }
 }
 
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -1,5 +1,7 @@
-//! Connections to servers. The library's client takes a connection that ends midway for the end of the body, so the
-//! exchange is made here, on the library's own codec: an answer is complete only when its framing says so.
+//! Connections to servers and HTTP/1.1 exchanges on them.
+//!
+//! The `awc` client mistakes a connection that is lost midway for the end of the body. Exchanges are therefore implemented here on top
+//! of the codec of `actix-http`: a response is complete only if its framing says so.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,70 +20,75 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::connect_timeout::ConnectTimes;
+use crate::connect_timeout::ConnectTimeout;
 use crate::KEEP_ALIVE;
 
-/// An idle connection is used again for so long where the server says nothing.
-const IDLE_FOR: Duration = Duration::from_secs(15);
-/// Left of the time that a server keeps an idle connection.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
-const READ_BYTES: usize = 8 << 10;
+/// Time for which an idle connection is reused if the server does not announce its own limit.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Idle connections are dropped this long before the server's limit, so that a request does not meet a connection being closed.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Initial capacity of the read buffer.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// Why an exchange has no answer.
+/// Why an exchange yields no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeError {
+    /// No connection could be opened, or the request could not be encoded: the server has not received it.
     NotSent,
+    /// The connection was lost or carried no valid response: the server may have executed the request.
     Broken,
 }
 
-/// The idle connections of this process.
+/// Pool of idle connections, shared by its clones.
 #[derive(Clone, Default)]
 pub(crate) struct Connections {
-    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
-    times: Rc<RefCell<ConnectTimes>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
+    connect_timeout: Rc<RefCell<ConnectTimeout>>,
 }
 
-struct Idle {
+struct IdleConnection {
     stream: TcpStream,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// An answer's head, with its body still to come. Dropped before its end, it takes the connection with it.
+/// The response of a server: its head, and its body as a stream. Dropping it before the end of the body closes the connection.
 pub struct UpstreamResponse {
     head: ResponseHead,
     body: Body,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is detected.
 enum Framing {
-    /// By a length or by chunks.
-    Told(ClientPayloadCodec),
-    /// By the end of the connection, in order; a reset is no end.
-    EndOfConnection,
+    /// By its length or by its chunks.
+    Delimited(ClientPayloadCodec),
+    /// By the orderly end of the connection; a reset means that the body is truncated.
+    UntilClose,
 }
 
 struct Body {
+    /// `None` after the end of the body.
     stream: Option<TcpStream>,
     buffer: BytesMut,
     framing: Framing,
+    /// Whether the connection can be reused after the body.
     keep_alive: bool,
-    idle_for: Duration,
+    idle_timeout: Duration,
     peer: SocketAddr,
     connections: Connections,
 }
 
-/// The body ended before its framing said so.
+/// The connection ended before the end of the body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the server broke its answer off")]
+#[error("the response body was truncated: the connection to the server ended early")]
 pub struct TruncatedBody;
 
 impl Connections {
-    /// `adaptive`: attempts are given up by what they usually take.
+    /// Creates an empty pool. With `adaptive`, the connect timeout is derived from the duration of earlier attempts.
     pub(crate) fn new(adaptive: bool) -> Self {
-        Self { idle: Rc::default(), times: Rc::new(RefCell::new(ConnectTimes::new(adaptive))) }
+        Self { idle: Rc::default(), connect_timeout: Rc::new(RefCell::new(ConnectTimeout::new(adaptive))) }
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request on an idle or a new connection and reads the head of the response.
     pub(crate) async fn exchange(
         &self,
         peer: SocketAddr,
@@ -94,10 +101,10 @@
         let method = head.method.clone();
         let head = RequestHeadType::Owned(head);
         codec.encode(Message::Item((head, size)), &mut request).map_err(|_| ExchangeError::NotSent)?;
-        let mut stream = self.connection(peer).await.ok_or(ExchangeError::NotSent)?;
+        let mut stream = self.acquire(peer).await.ok_or(ExchangeError::NotSent)?;
         request.extend_from_slice(body);
         let written = stream.write_all(&request).await;
-        let mut buffer = BytesMut::with_capacity(READ_BYTES);
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         let head = loop {
             match codec.decode(&mut buffer) {
                 Ok(Some(head)) => break head,
@@ -110,31 +117,32 @@
             }
         };
         let has_body = codec.message_type() != MessageType::None;
-        // The library takes an answer without a length for one without a body.
-        let is_unframed = !has_body && is_unframed(&method, &head);
-        let keep_alive = codec.keep_alive() && written.is_ok() && !is_unframed;
-        let idle_for = told_idle(head.headers()).unwrap_or(IDLE_FOR);
+        // The codec takes a response without framing headers for one without a body.
+        let ends_with_connection = !has_body && ends_with_connection(&method, &head);
+        let keep_alive = codec.keep_alive() && written.is_ok() && !ends_with_connection;
+        let idle_timeout = announced_idle_timeout(head.headers()).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut body = Body {
             stream: Some(stream),
             buffer,
-            framing: match is_unframed || codec.message_type() == MessageType::Stream {
-                true => Framing::EndOfConnection,
-                false => Framing::Told(codec.into_payload_codec()),
+            framing: match ends_with_connection || codec.message_type() == MessageType::Stream {
+                true => Framing::UntilClose,
+                false => Framing::Delimited(codec.into_payload_codec()),
             },
             keep_alive,
-            idle_for,
+            idle_timeout,
             peer,
             connections: self.clone(),
         };
-        if !has_body && !is_unframed {
+        if !has_body && !ends_with_connection {
             body.finish();
         }
         Ok(UpstreamResponse { head, body })
     }
 
-    async fn connection(&self, peer: SocketAddr) -> Option<TcpStream> {
-        while let Some(stream) = self.idle_connection(peer) {
-            if is_quiet(&stream) {
+    /// Takes a usable idle connection or opens a new one.
+    async fn acquire(&self, peer: SocketAddr) -> Option<TcpStream> {
+        while let Some(stream) = self.take_idle(peer) {
+            if is_open_and_unread(&stream) {
                 return Some(stream);
             }
         }
@@ -142,84 +150,86 @@
     }
 
     async fn open(&self, peer: SocketAddr) -> Option<TcpStream> {
-        let began = Instant::now();
-        let patience = self.times.borrow().patience();
-        let opened = timeout(patience, TcpStream::connect(peer)).await;
-        match &opened {
-            Ok(_) => self.times.borrow_mut().took(began.elapsed()),
-            Err(_) => self.times.borrow_mut().timed_out(),
+        let started = Instant::now();
+        let limit = self.connect_timeout.borrow().timeout();
+        let connected = timeout(limit, TcpStream::connect(peer)).await;
+        match &connected {
+            Ok(_) => self.connect_timeout.borrow_mut().record_completed(started.elapsed()),
+            Err(_) => self.connect_timeout.borrow_mut().record_timeout(),
         }
-        let stream = opened.ok()?.ok()?;
+        let stream = connected.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         Some(stream)
     }
 
-    /// Opens a connection and keeps it idle.
+    /// Opens a connection and adds it to the pool; returns whether that succeeded.
     pub(crate) async fn open_idle(&self, peer: SocketAddr) -> bool {
         let Some(stream) = self.open(peer).await else { return false };
-        self.keep(peer, stream, IDLE_FOR);
+        self.add_idle(peer, stream, DEFAULT_IDLE_TIMEOUT);
         true
     }
 
-    fn idle_connection(&self, peer: SocketAddr) -> Option<TcpStream> {
+    fn take_idle(&self, peer: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&peer)?;
         let now = Instant::now();
-        connections.retain(|idle| idle.until > now);
-        connections.pop().map(|idle| idle.stream)
+        connections.retain(|connection| connection.expires_at > now);
+        connections.pop().map(|connection| connection.stream)
     }
 
-    fn keep(&self, peer: SocketAddr, stream: TcpStream, idle_for: Duration) {
-        let until = Instant::now() + idle_for.saturating_sub(IDLE_MARGIN);
-        self.idle.borrow_mut().entry(peer).or_default().push(Idle { stream, until });
+    fn add_idle(&self, peer: SocketAddr, stream: TcpStream, idle_timeout: Duration) {
+        let expires_at = Instant::now() + idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
+        self.idle.borrow_mut().entry(peer).or_default().push(IdleConnection { stream, expires_at });
     }
 
-    /// Closes the idle connections to servers that are not among `peers`, and those whose time is over.
-    pub(crate) fn retain_servers(&self, peers: impl Fn(&SocketAddr) -> bool) {
+    /// Closes the idle connections that have expired or lead to a peer for which `is_listed` returns false.
+    pub(crate) fn retain_peers(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|peer, connections| {
-            connections.retain(|idle| idle.until > now);
-            !connections.is_empty() && peers(peer)
+            connections.retain(|connection| connection.expires_at > now);
+            !connections.is_empty() && is_listed(peer)
         });
     }
 }
 
-/// Whether an idle connection is open and nothing came on it.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Returns whether an idle connection is open and has no unread data, which could not belong to the next response.
+fn is_open_and_unread(stream: &TcpStream) -> bool {
     let mut byte = [0; 1];
     matches!(stream.try_read(&mut byte), Err(reason) if reason.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Whether an answer has a body that ends with its connection: it tells neither a length nor chunks, and may have a body.
-fn is_unframed(method: &Method, head: &ResponseHead) -> bool {
+/// Returns whether a response has a body that ends with its connection: it may have a body, but no header says where that ends.
+fn ends_with_connection(method: &Method, head: &ResponseHead) -> bool {
     let headers = head.headers();
-    let told = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
-    let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
-    !told && !bodiless && !head.status.is_informational() && method != Method::HEAD
+    let is_delimited = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
+    let has_no_body = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
+    !is_delimited && !has_no_body && !head.status.is_informational() && method != Method::HEAD
 }
 
-/// How long the server keeps an idle connection, by its `Keep-Alive`.
-fn told_idle(headers: &HeaderMap) -> Option<Duration> {
+/// Returns how long the server keeps an idle connection, from the `timeout` of its `Keep-Alive` header.
+fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
 impl UpstreamResponse {
+    /// Returns the status code.
     pub fn status(&self) -> StatusCode {
         self.head.status
     }
 
+    /// Returns the headers.
     pub fn headers(&self) -> &HeaderMap {
         self.head.headers()
     }
 
-    /// The next bytes of the body; none once it is complete.
+    /// Returns the next bytes of the body, or `None` if it is complete.
     pub async fn next(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         self.body.next().await
     }
 
-    /// Reads the rest of a short body, so that the connection can be used again.
+    /// Reads and drops the rest of the body, so that the connection can be reused.
     pub async fn discard(mut self) {
         while let Some(Ok(_)) = self.next().await {}
     }
@@ -230,42 +240,42 @@
         loop {
             self.stream.as_ref()?;
             match &mut self.framing {
-                Framing::EndOfConnection if !self.buffer.is_empty() => {
+                Framing::UntilClose if !self.buffer.is_empty() => {
                     return Some(Ok(self.buffer.split().freeze()));
                 }
-                Framing::EndOfConnection => {}
-                Framing::Told(codec) => match codec.decode(&mut self.buffer) {
+                Framing::UntilClose => {}
+                Framing::Delimited(codec) => match codec.decode(&mut self.buffer) {
                     Ok(Some(Some(bytes))) => return Some(Ok(bytes)),
                     Ok(Some(None)) => {
                         self.finish();
                         return None;
                     }
                     Ok(None) => {}
-                    Err(_) => return self.broken(),
+                    Err(_) => return self.truncated(),
                 },
             }
             let stream = self.stream.as_mut()?;
             match stream.read_buf(&mut self.buffer).await {
                 Ok(read) if read > 0 => {}
-                Ok(_) if matches!(self.framing, Framing::EndOfConnection) => {
+                Ok(_) if matches!(self.framing, Framing::UntilClose) => {
                     self.stream = None;
                     return None;
                 }
-                _ => return self.broken(),
+                _ => return self.truncated(),
             }
         }
     }
 
-    fn broken(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
+    fn truncated(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         self.stream = None;
         Some(Err(TruncatedBody))
     }
 
-    /// The body is complete: the connection can be used again if nothing is left on it.
+    /// Ends a complete body and returns the connection to the pool if it is reusable and no surplus data was received.
     fn finish(&mut self) {
         let Some(stream) = self.stream.take() else { return };
-        if self.keep_alive && self.buffer.is_empty() && matches!(self.framing, Framing::Told(_)) {
-            self.connections.keep(self.peer, stream, self.idle_for);
+        if self.keep_alive && self.buffer.is_empty() && matches!(self.framing, Framing::Delimited(_)) {
+            self.connections.add_idle(self.peer, stream, self.idle_timeout);
         }
     }
 }
--- a/crates/upstream/src/connection_probe.rs
+++ b/crates/upstream/src/connection_probe.rs
@@ -1,4 +1,4 @@
-//! A connection first, requests after it: for servers that could not be reached, and for those that may be silent.
+//! Tests connections to servers that get no requests until a connection succeeds.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::{RequestSender, ServerPool};
 
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tries connections to the servers that could not be reached or may be silent, without end.
+/// Repeatedly opens connections to the servers that could not be connected to or are suspected of being unresponsive. Never returns.
 pub async fn probe_connections(pool: ServerPool, sender: RequestSender) {
     loop {
-        sleep(LOOK_EVERY).await;
-        pool.suspect_silent();
-        let tries = pool.servers_to_probe().into_iter().map(|server| {
+        sleep(PROBE_INTERVAL).await;
+        pool.suspect_unresponsive();
+        let probes = pool.servers_to_probe().into_iter().map(|server| {
             let (pool, sender) = (pool.clone(), sender.clone());
             async move {
                 match sender.connect(&server).await {
@@ -23,6 +23,6 @@
                 }
             }
         });
-        join_all(tries).await;
+        join_all(probes).await;
     }
 }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,29 +1,31 @@
-//! Cuts a stream into events.
+//! Parses a stream of server-sent events and checks the order of their ids.
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The bytes as they came, with the blank line that ends it.
+    /// The bytes as received, including the blank line that ends the event.
     pub bytes: Vec<u8>,
+    /// Value of the `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its lines of data, joined by line feeds.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: String,
 }
 
-/// Collects bytes and gives whole events.
+/// Incremental parser: an iterator over the complete events among the bytes pushed so far.
 #[derive(Debug, Default)]
 pub struct EventParser {
     pending: Vec<u8>,
-    /// Up to here there is no end of an event.
+    /// No event ends before this offset in `pending`.
     searched: usize,
 }
 
 impl EventParser {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Whether a part of an event is left.
+    /// Returns whether bytes of an incomplete event remain.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -33,7 +35,7 @@
     type Item = Event;
 
     fn next(&mut self) -> Option<Event> {
-        let end = end_of_event(&self.pending, self.searched);
+        let end = find_event_end(&self.pending, self.searched);
         let Some(end) = end else {
             self.searched = self.pending.len().saturating_sub(3);
             return None;
@@ -41,34 +43,36 @@
         let rest = self.pending.split_off(end);
         let bytes = std::mem::replace(&mut self.pending, rest);
         self.searched = 0;
-        Some(parsed(bytes))
+        Some(parse_event(bytes))
     }
 }
 
-/// Holds a stream to its order: a server in trouble may send events that are spoilt or come twice.
+/// Checks that the ids of events are consecutive: a failing server may send corrupt or repeated events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventOrder {
     last: Option<u64>,
 }
 
 impl EventOrder {
-    /// The newest event taken; a stream is continued after it.
+    /// Returns the id of the last accepted event, after which a stream is to be continued.
     pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// Takes an event if it is the next one. After one that is not, nothing of its stream counts any more.
+    /// Accepts an event and returns true if its id follows that of the last accepted one; the first id may be any. After a rejected
+    /// event the caller must discard the rest of that server's stream.
     pub fn accept(&mut self, event: &Event) -> bool {
         let Some(id) = event.id else { return false };
-        let next = self.last.is_none_or(|last| id == last + 1);
-        if next {
+        let is_next = self.last.is_none_or(|last| id == last + 1);
+        if is_next {
             self.last = Some(id);
         }
-        next
+        is_next
     }
 }
 
-fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the offset after the first blank line that begins at or after `from`.
+fn find_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
         if rest.starts_with(b"\n\n") {
@@ -78,7 +82,7 @@
     })
 }
 
-fn parsed(bytes: Vec<u8>) -> Event {
+fn parse_event(bytes: Vec<u8>) -> Event {
     let mut id = None;
     let mut data = Vec::new();
     for line in bytes.split(|byte| *byte == b'\n') {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process knows of the tier and how it uses the servers: news from the control plane, the pool of servers and the
-//! choice among them, sending a request, reading events.
+//! What data planes and stores need in order to use the servers of the tier: a local copy of the tier's state that follows the
+//! control plane, the pool of servers and the choice among them, sending requests, and parsing event streams.
 
 mod clock;
 mod configuration_texts;
--- a/crates/upstream/src/pool/tests.rs
+++ b/crates/upstream/src/pool/tests.rs
@@ -24,88 +24,93 @@
     pool
 }
 
-/// Two servers, `a` and `b`.
+/// Returns a pool of two servers, `a` and `b`.
 pub(crate) fn two_servers(policy: &Policy) -> ServerPool {
     pool_of(&["a", "b"], policy)
 }
 
-/// Three servers, `a` to `c`.
+/// Returns a pool of three servers, `a` to `c`.
 pub(crate) fn three_servers() -> ServerPool {
     pool_of(&["a", "b", "c"], &Policy::default())
 }
 
-pub(crate) fn on_paused_clock(test: impl std::future::Future<Output = ()>) {
+/// Runs a test on a runtime whose clock advances only when the test waits.
+pub(crate) fn with_paused_clock(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(test);
 }
 
-/// How many of a hundred requests, one after the other, go to `a`.
-pub(crate) fn part_of_a(pool: &ServerPool) -> usize {
-    let demand = RequestProfile::default();
-    (0..100).filter_map(|_| pool.choose("s", &[], &demand)).filter(|ticket| ticket.server.id == "a").count()
+/// Returns how many of a hundred consecutive requests go to `a`.
+pub(crate) fn requests_to_a(pool: &ServerPool) -> usize {
+    let profile = RequestProfile::default();
+    (0..100).filter_map(|_| pool.choose("s", &[], &profile)).filter(|guard| guard.server.id == "a").count()
 }
 
 #[test]
-fn servers_that_are_alike_get_requests_alike() {
-    on_paused_clock(async {
-        let drawn = part_of_a(&two_servers(&Policy::default()));
-        assert!((20..=80).contains(&drawn), "{drawn}");
-        let fixed = part_of_a(&two_servers(&Policy { random_ties: false, ..Policy::default() }));
+fn equally_loaded_servers_get_similar_numbers_of_requests() {
+    with_paused_clock(async {
+        let random = requests_to_a(&two_servers(&Policy::default()));
+        assert!((20..=80).contains(&random), "{random}");
+        let fixed = requests_to_a(&two_servers(&Policy { random_ties: false, ..Policy::default() }));
         assert!(fixed == 0 || fixed == 100, "{fixed}");
     });
 }
 
 #[test]
-fn a_server_that_fails_everything_draws_no_requests_for_being_quick() {
-    on_paused_clock(async {
-        // Without rests, which end before what failed is forgotten.
+fn a_server_that_fails_fast_does_not_attract_requests() {
+    with_paused_clock(async {
+        // Without cooldowns, which end before the failures have decayed.
         let pool = two_servers(&Policy { rest_after_failure: false, ..Policy::default() });
         for _ in 0..5 {
-            let ticket = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
-            pool.record_error_response(&ticket);
+            let guard = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
+            pool.record_error_response(&guard);
         }
-        assert_eq!(part_of_a(&pool), 0, "what failed of late counts as fuller");
+        assert_eq!(requests_to_a(&pool), 0, "recent failures count as load");
         advance(Duration::from_secs(30)).await;
-        assert!(part_of_a(&pool) > 0, "that fades");
+        assert!(requests_to_a(&pool) > 0, "failures decay");
     });
 }
 
 #[test]
-fn a_server_that_was_not_reached_gets_requests_once_a_connection_stands() {
-    on_paused_clock(async {
-        for (reconnect_first, unconnected) in [(true, 0), (false, 1)] {
+fn an_unreachable_server_gets_requests_once_a_connection_succeeds() {
+    with_paused_clock(async {
+        for (reconnect_first, requests_before) in [(true, 0), (false, 1)] {
             let pool = two_servers(&Policy { reconnect_first, ..Policy::default() });
             pool.record_connect_failure("a");
-            assert!(pool.servers_to_probe().is_empty(), "it rests first");
+            assert!(pool.servers_to_probe().is_empty(), "the cooldown comes first");
             advance(Duration::from_secs(30)).await;
-            assert_eq!(part_of_a(&pool).min(1), unconnected, "without a connection, {reconnect_first}");
+            assert_eq!(
+                requests_to_a(&pool).min(1),
+                requests_before,
+                "before a connection, reconnect_first: {reconnect_first}"
+            );
             assert_eq!(pool.servers_to_probe().len(), usize::from(reconnect_first));
             pool.record_connect_success("a");
-            assert!(part_of_a(&pool) > 0, "with one");
+            assert!(requests_to_a(&pool) > 0, "after a connection");
         }
     });
 }
 
 #[test]
-fn a_silent_server_is_connected_to_before_it_gets_more() {
-    on_paused_clock(async {
+fn an_unresponsive_server_is_probed_before_it_gets_more_requests() {
+    with_paused_clock(async {
         let pool = two_servers(&Policy::default());
         for _ in 0..20 {
-            let ticket = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
+            let guard = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
             advance(Duration::from_millis(20)).await;
-            pool.record_success(&ticket, None);
+            pool.record_success(&guard, None);
         }
         let waiting = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
-        pool.suspect_silent();
-        assert!(pool.servers_to_probe().is_empty(), "not silent yet");
+        pool.suspect_unresponsive();
+        assert!(pool.servers_to_probe().is_empty(), "not unresponsive yet");
         advance(Duration::from_millis(150)).await;
-        pool.suspect_silent();
+        pool.suspect_unresponsive();
         assert_eq!(pool.servers_to_probe()[0].id, "a");
-        assert_eq!(part_of_a(&pool), 0, "nothing until a connection stands");
+        assert_eq!(requests_to_a(&pool), 0, "no requests until a connection succeeds");
         pool.record_connect_success("a");
         drop(waiting);
-        assert!(part_of_a(&pool) > 0, "it is there");
-        pool.suspect_silent();
-        assert!(pool.servers_to_probe().is_empty(), "and was looked at a moment ago");
+        assert!(requests_to_a(&pool) > 0, "the connection succeeded");
+        pool.suspect_unresponsive();
+        assert!(pool.servers_to_probe().is_empty(), "it was probed a moment ago");
     });
 }
--- a/crates/upstream/src/selection.rs
+++ b/crates/upstream/src/selection.rs
@@ -1,4 +1,4 @@
-//! The choice among the servers that may have a request.
+//! Selection of a server for a request among the candidates.
 
 use fennelgauge_model::{splitmix64, stable_hash};
 use fennelgauge_settings::Policy;
@@ -7,65 +7,77 @@
 use crate::request_profile::{RequestKind, RequestProfile};
 use crate::tracked_server::TrackedServer;
 
-/// A server keeps the prompts it has cached while its load is at most so much above the least loaded one's, in slots.
-const KEEP_WITHIN: f64 = 0.35;
-/// A server for the other kind of request is chosen when those for the own kind are fuller by so much, in slots.
-const OWN_KIND_WITHIN: f64 = 0.35;
-/// A server in another zone is chosen when those in the own zone are fuller by so much, in slots.
-const OWN_ZONE_WITHIN: f64 = 0.2;
-/// From this part of its slots on, a server is left in favour of one that is emptier.
-const CROWDED: f64 = 0.85;
+// The limits below are loads: requests as a fraction of a server's slots.
 
-/// Among so many, drawn at random, the least loaded is taken where the load is known from others.
-const CHOICES: usize = 2;
+/// The server that caches a request's prompt prefix is used while its score exceeds the lowest one by no more than this.
+const PREFIX_AFFINITY_MARGIN: f64 = 0.35;
+/// Servers for the other kind of request are used if those for the request's own kind are fuller by more than this.
+const KIND_MARGIN: f64 = 0.35;
+/// Servers in other zones are used if those in the own zone are fuller by more than this.
+const ZONE_MARGIN: f64 = 0.2;
+/// From this load on, the server that caches a request's prompt prefix is not preferred any more.
+const CROWDED_LOAD: f64 = 0.85;
 
-/// What the choice goes by, beside the servers.
+/// Number of servers drawn at random, of which the less loaded is taken, where loads are known from other processes only.
+const RANDOM_CHOICES: usize = 2;
+
+/// What the selection depends on besides the servers.
 pub(crate) struct SelectionCriteria<'a> {
-    pub demand: &'a RequestProfile,
-    /// The part of the servers that is for long prompts; none where nothing is kept apart.
-    pub long_part: Option<f64>,
-    /// The own zone.
+    /// The request.
+    pub profile: &'a RequestProfile,
+    /// Fraction of the servers that is reserved for long prompts; `None` if all servers take all requests.
+    pub long_prompt_fraction: Option<f64>,
+    /// Zone of this process.
     pub zone: &'a str,
+    /// Policy switches.
     pub policy: &'a Policy,
+    /// Current time.
     pub now: Instant,
 }
 
 impl SelectionCriteria<'_> {
-    /// The best of the candidates: those for the request's kind unless they are much fuller than the others, then those near,
-    /// then the one that has its prompt, else the least loaded.
-    pub fn best<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
-        let candidates = self.narrowed(candidates, |seen| self.is_of_kind(seen), OWN_KIND_WITHIN);
-        let candidates = self.narrowed(&candidates, |seen| self.is_near(seen), OWN_ZONE_WITHIN);
-        let least = self.least_load(&candidates)?;
-        match self.home(&candidates) {
-            Some(home) if home.burden(self.now) <= least + KEEP_WITHIN && home.burden(self.now) < CROWDED => {
-                Some(home)
+    /// Selects a server. Candidates are narrowed to those reserved for the request's kind, then to those in the own zone, unless
+    /// these are much fuller than the others. Of the rest, the one that caches the request's prompt prefix is taken unless it is
+    /// much fuller or crowded, else the least loaded one. Returns `None` if there are no candidates.
+    pub fn select<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
+        let candidates = self.narrow(candidates, |server| self.is_for_kind(server), KIND_MARGIN);
+        let candidates = self.narrow(&candidates, |server| self.is_preferred_zone(server), ZONE_MARGIN);
+        let lowest = self.lowest_score(&candidates)?;
+        match self.prefix_server(&candidates) {
+            Some(server)
+                if server.score(self.now) <= lowest + PREFIX_AFFINITY_MARGIN
+                    && server.score(self.now) < CROWDED_LOAD =>
+            {
+                Some(server)
             }
             _ => self.least_loaded(candidates),
         }
     }
 
-    fn is_of_kind(&self, seen: &TrackedServer) -> bool {
-        let long_part = self.long_part.filter(|_| self.policy.kinds_apart);
-        match (long_part, self.demand.kind) {
+    fn is_for_kind(&self, server: &TrackedServer) -> bool {
+        let fraction = self.long_prompt_fraction.filter(|_| self.policy.kinds_apart);
+        match (fraction, self.profile.kind) {
             (None, _) | (_, RequestKind::BatchItem) => true,
-            (Some(part), RequestKind::Long) => seen.rank < part,
-            (Some(part), RequestKind::Short) => seen.rank >= part,
+            (Some(fraction), RequestKind::Long) => server.rank < fraction,
+            (Some(fraction), RequestKind::Short) => server.rank >= fraction,
         }
     }
 
     fn affinity(&self) -> Option<u64> {
-        self.demand.affinity.filter(|_| self.policy.cached_prompts)
+        self.profile.affinity.filter(|_| self.policy.cached_prompts)
     }
 
-    fn is_near(&self, seen: &TrackedServer) -> bool {
-        !self.policy.own_zone_first || self.affinity().is_some() || seen.server.zone == self.zone
+    fn is_preferred_zone(&self, server: &TrackedServer) -> bool {
+        !self.policy.own_zone_first || self.affinity().is_some() || server.server.zone == self.zone
     }
 
-    /// The server that keeps the request's shared part.
-    fn home<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
+    /// Returns the server that requests with this prompt prefix are sent to, by rendezvous hashing.
+    fn prefix_server<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
         let affinity = self.affinity()?;
-        candidates.iter().copied().max_by_key(|seen| splitmix64(affinity ^ stable_hash(&seen.server.id)))
+        candidates
+            .iter()
+            .copied()
+            .max_by_key(|candidate| splitmix64(affinity ^ stable_hash(&candidate.server.id)))
     }
 
     fn least_loaded<'s>(&self, mut candidates: Vec<&'s TrackedServer>) -> Option<&'s TrackedServer> {
@@ -73,37 +85,40 @@
             fastrand::shuffle(&mut candidates);
         }
         if self.policy.two_choices
-            && self.demand.kind != RequestKind::BatchItem
-            && self.only_from_others(&candidates)
+            && self.profile.kind != RequestKind::BatchItem
+            && self.is_load_from_peers_only(&candidates)
         {
-            candidates.truncate(CHOICES);
+            candidates.truncate(RANDOM_CHOICES);
         }
-        let burden = |seen: &&TrackedServer| seen.burden(self.now);
-        candidates.into_iter().min_by(|left, right| burden(left).total_cmp(&burden(right)))
+        let score = |server: &&TrackedServer| server.score(self.now);
+        candidates.into_iter().min_by(|left, right| score(left).total_cmp(&score(right)))
     }
 
-    /// Whether the load is known from others and not from the servers. What others told is a moment old: all who go by the least
-    /// of it would go to the same server. Items come from few stores, which know their own best.
-    fn only_from_others(&self, candidates: &[&TrackedServer]) -> bool {
-        candidates.iter().any(|seen| seen.knows_others(self.now))
-            && !candidates.iter().any(|seen| seen.tells_load(self.now))
+    /// Returns whether loads are known from other processes but not from the servers. Such loads are slightly out of date, and all
+    /// processes that took the least loaded server would send their requests to the same one. Batch items are exempt: they come
+    /// from few stores, which know best themselves what they have sent.
+    fn is_load_from_peers_only(&self, candidates: &[&TrackedServer]) -> bool {
+        candidates.iter().any(|server| server.has_peer_stats(self.now))
+            && !candidates.iter().any(|server| server.has_reported_load(self.now))
     }
 
-    /// Those that fulfil a wish, unless the least loaded of them is fuller by more than `within` than the least loaded of all.
-    fn narrowed<'s>(
+    /// Returns the candidates that satisfy `preference`, or all candidates if the lowest score among those exceeds the lowest of
+    /// all by more than `margin`.
+    fn narrow<'s>(
         &self,
         candidates: &[&'s TrackedServer],
-        wish: impl Fn(&TrackedServer) -> bool,
-        within: f64,
+        preference: impl Fn(&TrackedServer) -> bool,
+        margin: f64,
     ) -> Vec<&'s TrackedServer> {
-        let wished: Vec<&TrackedServer> = candidates.iter().copied().filter(|seen| wish(seen)).collect();
-        match (self.least_load(&wished), self.least_load(candidates)) {
-            (Some(least), Some(least_of_all)) if least <= least_of_all + within => wished,
+        let preferred: Vec<&TrackedServer> =
+            candidates.iter().copied().filter(|server| preference(server)).collect();
+        match (self.lowest_score(&preferred), self.lowest_score(candidates)) {
+            (Some(lowest), Some(lowest_of_all)) if lowest <= lowest_of_all + margin => preferred,
             _ => candidates.to_vec(),
         }
     }
 
-    fn least_load(&self, candidates: &[&TrackedServer]) -> Option<f64> {
-        candidates.iter().map(|seen| seen.burden(self.now)).min_by(f64::total_cmp)
+    fn lowest_score(&self, candidates: &[&TrackedServer]) -> Option<f64> {
+        candidates.iter().map(|server| server.score(self.now)).min_by(f64::total_cmp)
     }
 }
--- a/crates/upstream/src/send.rs
+++ b/crates/upstream/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends one request to one server.
+//! Sends a request to a server and classifies the result.
 
 use std::time::Duration;
 
@@ -14,41 +14,52 @@
 use fennelgauge_model::Server;
 use fennelgauge_settings::Policy;
 
+/// For calls to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-const IDLE_FOR: Duration = Duration::from_secs(12);
-/// For the body of a refusal.
-const REFUSAL_TIMEOUT: Duration = Duration::from_millis(20);
+/// For connections to the platform.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Longest time for reading the body of a response that says that the request was not executed.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A request as it goes to whichever server is chosen.
+/// A request in the form in which it can be sent to any server.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
+    /// HTTP method.
     pub method: Method,
+    /// Path and query of the request target.
     pub path_and_query: String,
+    /// Value of the `Host` header.
     pub host: String,
+    /// Request id, which is the same in every attempt.
     pub id: String,
-    /// Without those that this module sets.
+    /// Headers other than those that [`RequestSender::send`] adds: host, request id, target instance and deadline.
     pub headers: Vec<(HeaderName, HeaderValue)>,
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no answer that counts.
+/// Why a request has no valid response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    #[error("the server cannot be reached: it has not got the request")]
+    /// No connection could be opened, or the request cannot be encoded.
+    #[error("no connection to the server: it has not received the request")]
     NotSent,
-    #[error("the server said that it has not run the request ({0})")]
+    /// The server responded that it has not executed the request.
+    #[error("the server has not executed the request ({0})")]
     NotExecuted(StatusCode),
-    #[error("the server broke off or was silent: it may have run the request")]
+    /// The connection was lost, or the response was invalid or belongs to another request.
+    #[error("no valid response: the server may have executed the request")]
     MayHaveExecuted,
-    #[error("the time is up: the server may have run the request")]
+    /// No response head was received in time.
+    #[error("timed out: the server may have executed the request")]
     TimedOut,
 }
 
-/// A client for calls to the platform, without habits of its own: no redirects, no decompression, no added headers.
+/// Creates a client for calls to the platform. It follows no redirects and adds no default headers.
 pub fn platform_client() -> awc::Client {
     let connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
-        .conn_keep_alive(IDLE_FOR)
+        .conn_keep_alive(IDLE_TIMEOUT)
         .conn_lifetime(Duration::from_secs(3_600))
         .limit(0);
     awc::Client::builder()
@@ -59,50 +70,51 @@
         .finish()
 }
 
-/// Sends requests.
+/// Sends requests to servers over pooled connections, which its clones share.
 #[derive(Clone, Default)]
 pub struct RequestSender {
     connections: Connections,
 }
 
 impl RequestSender {
-    /// As the policy has it.
+    /// Creates a sender; the policy decides about the connect timeout.
     pub fn new(policy: &Policy) -> Self {
         Self { connections: Connections::new(policy.adaptive_connect) }
     }
 
-    /// Opens a connection for later use; false if none could be opened.
+    /// Opens a connection for later use; returns whether that succeeded.
     pub async fn connect(&self, server: &Server) -> bool {
         self.connections.open_idle(server.addr).await
     }
 
-    /// Sends to `server` and waits for the head of its answer, `within` at most; `deadline` is what the server is told it has.
+    /// Sends a request to `server` and waits for the head of its response for at most `head_timeout`. `deadline` is the remaining time
+    /// for the request, which the server is informed of.
     pub async fn send(
         &self,
         server: &Server,
         outgoing: &OutgoingRequest,
         deadline: Duration,
-        within: Duration,
+        head_timeout: Duration,
     ) -> Result<UpstreamResponse, SendError> {
-        let head = head(server, outgoing, deadline).ok_or(SendError::NotSent)?;
+        let head = request_head(server, outgoing, deadline).ok_or(SendError::NotSent)?;
         let exchange = self.connections.exchange(server.addr, head, &outgoing.body);
-        let answer = match timeout(within, exchange).await {
-            Ok(Ok(answer)) => answer,
+        let response = match timeout(head_timeout, exchange).await {
+            Ok(Ok(response)) => response,
             Ok(Err(ExchangeError::NotSent)) => return Err(SendError::NotSent),
             Ok(Err(ExchangeError::Broken)) => return Err(SendError::MayHaveExecuted),
             Err(_) => return Err(SendError::TimedOut),
         };
-        checked(answer, &outgoing.id).await
+        validate_response(response, &outgoing.id).await
     }
 
-    /// Closes idle connections to servers that are not listed any more.
+    /// Closes idle connections to servers that are not in `servers`.
     pub fn retain_servers(&self, servers: &[Server]) {
-        self.connections.retain_servers(|peer| servers.iter().any(|server| server.addr == *peer));
+        self.connections.retain_peers(|peer| servers.iter().any(|server| server.addr == *peer));
     }
 }
 
-/// The head that goes to the server; none if the path cannot be sent.
-fn head(server: &Server, outgoing: &OutgoingRequest, deadline: Duration) -> Option<RequestHead> {
+/// Creates the request head for a server; `None` if the path or a header value is invalid.
+fn request_head(server: &Server, outgoing: &OutgoingRequest, deadline: Duration) -> Option<RequestHead> {
     let mut head = RequestHead::default();
     head.method = outgoing.method.clone();
     head.uri = outgoing.path_and_query.parse().ok()?;
@@ -117,41 +129,43 @@
     Some(head)
 }
 
-async fn checked(answer: UpstreamResponse, id: &str) -> Result<UpstreamResponse, SendError> {
-    let status = answer.status();
-    let answered = answer.headers().get(REQUEST_ID).map(|value| value.as_bytes() == id.as_bytes());
-    if answered == Some(false) || (answered.is_none() && status.is_success()) {
+/// Rejects a response that belongs to another request, or that says that the request was not executed. A response without a request id
+/// is accepted only if its status is not a success.
+async fn validate_response(response: UpstreamResponse, id: &str) -> Result<UpstreamResponse, SendError> {
+    let status = response.status();
+    let id_matches = response.headers().get(REQUEST_ID).map(|value| value.as_bytes() == id.as_bytes());
+    if id_matches == Some(false) || (id_matches.is_none() && status.is_success()) {
         return Err(SendError::MayHaveExecuted);
     }
     let not_executed =
-        answer.headers().contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST;
+        response.headers().contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST;
     if not_executed {
-        let _ = timeout(REFUSAL_TIMEOUT, answer.discard()).await;
+        let _ = timeout(DISCARD_TIMEOUT, response.discard()).await;
         return Err(SendError::NotExecuted(status));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Whether the status tells of a server in trouble; a 504 tells of a request that had too little time.
-fn is_own_error(status: StatusCode) -> bool {
+/// Returns whether the status indicates a failing server. A 504 does not: it means that the request had too little time.
+fn is_server_failure(status: StatusCode) -> bool {
     [StatusCode::INTERNAL_SERVER_ERROR, StatusCode::BAD_GATEWAY].contains(&status)
 }
 
-/// The value of an answer's load header.
-fn told_load(answer: &UpstreamResponse) -> Option<&str> {
-    answer.headers().get(SERVER_LOAD)?.to_str().ok()
+/// Returns the value of the load header of a response.
+fn load_header(response: &UpstreamResponse) -> Option<&str> {
+    response.headers().get(SERVER_LOAD)?.to_str().ok()
 }
 
 impl crate::ServerPool {
-    /// Learns from the head of an answer.
-    pub fn record_response(&self, ticket: &crate::InFlightGuard, answer: &UpstreamResponse) {
-        match self.learns_errors() && is_own_error(answer.status()) {
-            true => self.record_error_response(ticket),
-            false => self.record_success(ticket, told_load(answer)),
+    /// Updates the state of a server from the head of its response.
+    pub fn record_response(&self, guard: &crate::InFlightGuard, response: &UpstreamResponse) {
+        match self.counts_error_responses() && is_server_failure(response.status()) {
+            true => self.record_error_response(guard),
+            false => self.record_success(guard, load_header(response)),
         }
     }
 
-    /// Learns from a failure.
+    /// Updates the state of a server after a request without a valid response.
     pub fn record_send_error(&self, server: &Server, error: &SendError) {
         match error {
             SendError::NotSent => self.record_connect_failure(&server.id),
--- a/crates/upstream/src/stats_exchange.rs
+++ b/crates/upstream/src/stats_exchange.rs
@@ -1,4 +1,4 @@
-//! Tells the home of this process's servers of what was seen of them here, and takes what others saw.
+//! Reports this process's statistics about its servers to an aggregator and applies those of other processes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,98 +11,103 @@
 use crate::subscriber::source_at;
 use crate::{ServerPool, Subscription, TierState};
 
-/// A report is sent so often, or as seldom as its size makes it.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// What reports and their answers may take of the link, in bytes a second.
-const MOST_BYTES_A_SECOND: f64 = 4_000.0;
-/// Of one server in a report or an answer.
-const USE_BYTES: f64 = 14.0;
-/// After so many reports the nearest source is tried again.
-const NEAREST_AGAIN_AFTER: u64 = 30;
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// A request waits unusually long from here on at least, and at most, whatever answers take.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
-const MOST_SILENCE: Duration = Duration::from_millis(700);
-/// A process that cannot reach this part of its servers is cut off itself: it spreads no suspicion.
-const CUT_OFF_PART: f64 = 0.5;
+/// Interval between reports, unless their size requires a longer one.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Bandwidth that reports and their replies may use, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 4_000.0;
+/// Size of one server's statistics in a report or a reply.
+const SERVER_STATS_BYTES: f64 = 14.0;
+/// Number of reports after which the first source is tried again.
+const RETURN_TO_FIRST_SOURCE_AFTER: u64 = 30;
+/// Timeout for the reply to a report.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Lower bound of the response time from which on a server is suspected of being unresponsive.
+const MIN_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of that time, which also applies before any response.
+const MAX_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
+/// A process that cannot connect to more than this fraction of the servers is probably cut off itself and reports no suspicions.
+const MAX_UNREACHABLE_FRACTION: f64 = 0.5;
 
 impl ServerPool {
-    /// What is longer than answers usually take to begin.
-    fn unusual_silence(&self) -> Duration {
-        let usual = self.heads.borrow().upper_bound().unwrap_or(MOST_SILENCE);
-        usual.clamp(LEAST_SILENCE, MOST_SILENCE)
+    /// Returns the response time from which on a server is suspected of being unresponsive.
+    fn unresponsive_after(&self) -> Duration {
+        let bound = self.response_times.borrow().upper_bound().unwrap_or(MAX_UNRESPONSIVE_AFTER);
+        bound.clamp(MIN_UNRESPONSIVE_AFTER, MAX_UNRESPONSIVE_AFTER)
     }
 
-    /// Marks servers that may be silent.
-    pub(crate) fn suspect_silent(&self) {
+    /// Marks the servers that may be unresponsive as suspected.
+    pub(crate) fn suspect_unresponsive(&self) {
         if !self.policy.suspect_silent {
             return;
         }
-        let (usual, now) = (self.unusual_silence(), Instant::now());
-        self.servers.borrow_mut().values_mut().for_each(|seen| seen.suspect(usual, now));
+        let (limit, now) = (self.unresponsive_after(), Instant::now());
+        self.servers.borrow_mut().values_mut().for_each(|server| server.suspect(limit, now));
     }
 
-    /// What this process has to tell.
-    fn uses(&self) -> Vec<ServerStats> {
+    /// Returns the statistics that this process reports. Servers without any are left out.
+    fn own_stats(&self) -> Vec<ServerStats> {
         let now = Instant::now();
         let servers = self.servers.borrow();
-        let unreachable = servers.values().filter(|seen| seen.is_unreachable()).count();
-        let cut_off = unreachable as f64 > servers.len() as f64 * CUT_OFF_PART;
-        let own = servers.values().map(|seen| match cut_off {
-            true => ServerStats { suspected_by: 0, ..seen.own_use(now) },
-            false => seen.own_use(now),
+        let unreachable = servers.values().filter(|server| server.is_unreachable()).count();
+        let is_cut_off = unreachable as f64 > servers.len() as f64 * MAX_UNREACHABLE_FRACTION;
+        let own_stats = servers.values().map(|server| match is_cut_off {
+            true => ServerStats { suspected_by: 0, ..server.own_stats(now) },
+            false => server.own_stats(now),
         });
-        own.filter(|told| !told.is_empty()).collect()
+        own_stats.filter(|stats| !stats.is_empty()).collect()
     }
 
-    fn take_sums(&self, sums: &StatsTotals) {
+    /// Applies the totals over all other processes.
+    fn apply_peer_totals(&self, totals: &StatsTotals) {
         let now = Instant::now();
-        let told: HashMap<ServerKey, &ServerStats> =
-            sums.servers.iter().map(|told| (told.server, told)).collect();
-        for seen in self.servers.borrow_mut().values_mut() {
-            let told = told.get(&ServerKey::from_id(&seen.server.id)).copied();
-            seen.take_others(told, now);
+        let stats_by_key: HashMap<ServerKey, &ServerStats> =
+            totals.servers.iter().map(|stats| (stats.server, stats)).collect();
+        for server in self.servers.borrow_mut().values_mut() {
+            let stats = stats_by_key.get(&ServerKey::from_id(&server.server.id)).copied();
+            server.set_peer_stats(stats, now);
         }
     }
 }
 
-/// Reports without end, to the next source when one gives no answer. Nothing waits for it: without answers servers are
-/// chosen by what is seen here.
+/// Sends reports and applies the replies; moves on to the next source if one does not reply. Never returns, unless the policy turns the
+/// exchange off. Requests do not depend on it: without replies, servers are chosen by this process's own statistics. `incarnation` is a
+/// random number drawn when the process starts.
 pub async fn exchange_server_stats(
     pool: ServerPool,
-    known: Rc<TierState>,
+    state: Rc<TierState>,
     caller: Caller,
     subscription: Subscription,
-    life: u64,
+    incarnation: u64,
 ) {
     if !pool.policy.shared_uses {
         return;
     }
     let mut source = 0;
     let mut sequence = 0;
-    let mut pause = REPORT_EVERY;
+    let mut interval = MIN_REPORT_INTERVAL;
     loop {
-        sleep(pause).await;
-        if sequence % NEAREST_AGAIN_AFTER == 0 {
+        sleep(interval).await;
+        if sequence % RETURN_TO_FIRST_SOURCE_AFTER == 0 {
             source = 0;
         }
-        let Some(home) = source_at(source, &known, &subscription) else { continue };
+        let Some(aggregator) = source_at(source, &state, &subscription) else { continue };
         sequence += 1;
-        let report = StatsReport { incarnation: life, sequence, servers: pool.uses() };
-        let told = report.servers.len();
-        match caller.call(home, Request::ServerLoad(report), ANSWER_TIMEOUT).await {
-            Ok(Reply::ServerLoad(sums)) => {
-                pool.take_sums(&sums);
-                pause = pause_for(told + sums.servers.len());
+        let report = StatsReport { incarnation, sequence, servers: pool.own_stats() };
+        let reported = report.servers.len();
+        match caller.call(aggregator, Request::ServerLoad(report), REPLY_TIMEOUT).await {
+            Ok(Reply::ServerLoad(totals)) => {
+                pool.apply_peer_totals(&totals);
+                interval = report_interval(reported + totals.servers.len());
             }
             _ => source += 1,
         }
     }
 }
 
-/// The time until the next report, by how many servers the last one and its answer named.
-fn pause_for(uses: usize) -> Duration {
-    Duration::from_secs_f64(uses as f64 * USE_BYTES / MOST_BYTES_A_SECOND).max(REPORT_EVERY)
+/// Returns the time until the next report, given the number of entries in the last one and its reply together.
+fn report_interval(entries: usize) -> Duration {
+    Duration::from_secs_f64(entries as f64 * SERVER_STATS_BYTES / MAX_BYTES_PER_SECOND)
+        .max(MIN_REPORT_INTERVAL)
 }
 
 #[cfg(test)]
--- a/crates/upstream/src/stats_exchange/tests.rs
+++ b/crates/upstream/src/stats_exchange/tests.rs
@@ -1,89 +1,90 @@
 use tokio::time::advance;
 
 use super::*;
-use crate::pool::tests::{on_paused_clock, part_of_a, three_servers, two_servers};
+use crate::pool::tests::{requests_to_a, three_servers, two_servers, with_paused_clock};
 use crate::RequestProfile;
 use fennelgauge_settings::Policy;
 
-fn told(id: &str, change: impl Fn(&mut ServerStats)) -> StatsTotals {
-    let mut told = ServerStats::empty(ServerKey::from_id(id));
-    change(&mut told);
-    StatsTotals { reporters: 3, servers: vec![told] }
+fn totals(id: &str, change: impl Fn(&mut ServerStats)) -> StatsTotals {
+    let mut stats = ServerStats::empty(ServerKey::from_id(id));
+    change(&mut stats);
+    StatsTotals { reporters: 3, servers: vec![stats] }
 }
 
 #[test]
-fn what_others_use_counts_for_a_moment() {
-    on_paused_clock(async {
+fn statistics_of_other_processes_affect_the_choice_until_they_expire() {
+    with_paused_clock(async {
         let pool = two_servers(&Policy::default());
-        pool.take_sums(&told("a", |told| told.in_flight = 6));
-        assert_eq!(part_of_a(&pool), 0, "others keep it busy");
+        pool.apply_peer_totals(&totals("a", |stats| stats.in_flight = 6));
+        assert_eq!(requests_to_a(&pool), 0, "other processes load it");
         advance(Duration::from_millis(600)).await;
-        assert!(part_of_a(&pool) > 0, "old news do not count");
-        pool.take_sums(&told("a", |told| told.failure_tenths = 90));
-        assert_eq!(part_of_a(&pool), 0, "it fails for others");
-        pool.take_sums(&StatsTotals::default());
-        assert!(part_of_a(&pool) > 0, "nobody uses it any more");
+        assert!(requests_to_a(&pool) > 0, "the statistics have expired");
+        pool.apply_peer_totals(&totals("a", |stats| stats.failure_tenths = 90));
+        assert_eq!(requests_to_a(&pool), 0, "it fails for other processes");
+        pool.apply_peer_totals(&StatsTotals::default());
+        assert!(requests_to_a(&pool) > 0, "no other process uses it any more");
     });
 }
 
 #[test]
-fn a_server_that_others_cannot_reach_is_connected_to_first() {
-    on_paused_clock(async {
+fn a_server_that_others_cannot_reach_is_probed_first() {
+    with_paused_clock(async {
         let pool = two_servers(&Policy::default());
-        pool.take_sums(&told("a", |told| told.suspected_by = 1));
-        pool.suspect_silent();
+        pool.apply_peer_totals(&totals("a", |stats| stats.suspected_by = 1));
+        pool.suspect_unresponsive();
         assert_eq!(pool.servers_to_probe()[0].id, "a");
-        assert_eq!(part_of_a(&pool), 0);
+        assert_eq!(requests_to_a(&pool), 0);
     });
 }
 
 #[test]
-fn a_process_tells_what_it_saw_and_no_suspicion_when_it_is_cut_off() {
-    on_paused_clock(async {
+fn own_statistics_are_reported_without_suspicions_from_a_process_that_is_cut_off() {
+    with_paused_clock(async {
         let pool = two_servers(&Policy::default());
-        assert!(pool.uses().is_empty());
-        let ticket = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
-        pool.record_success(&ticket, None);
-        let uses = pool.uses();
+        assert!(pool.own_stats().is_empty());
+        let guard = pool.choose("s", &["b".to_owned()], &RequestProfile::default()).expect("a");
+        pool.record_success(&guard, None);
+        let stats = pool.own_stats();
         assert_eq!(
-            (uses[0].server, uses[0].in_flight, uses[0].success_tenths),
+            (stats[0].server, stats[0].in_flight, stats[0].success_tenths),
             (ServerKey::from_id("a"), 1, 10)
         );
-        drop(ticket);
+        drop(guard);
         pool.record_connect_failure("b");
-        let suspected = |pool: &ServerPool| pool.uses().iter().map(|told| told.suspected_by).sum::<u32>();
+        let suspected =
+            |pool: &ServerPool| pool.own_stats().iter().map(|stats| stats.suspected_by).sum::<u32>();
         assert_eq!(suspected(&pool), 1);
         pool.record_connect_failure("a");
-        assert_eq!(suspected(&pool), 0, "it cannot reach anybody");
+        assert_eq!(suspected(&pool), 0, "it cannot reach any server");
     });
 }
 
 #[test]
-fn reports_come_less_often_the_more_they_name() {
+fn larger_reports_are_sent_less_often() {
     let cases = [(0, 100), (20, 100), (100, 350), (1_000, 3_500)];
-    for (uses, pause_ms) in cases {
-        assert_eq!(pause_for(uses), Duration::from_millis(pause_ms), "{uses}");
+    for (entries, interval_ms) in cases {
+        assert_eq!(report_interval(entries), Duration::from_millis(interval_ms), "{entries}");
     }
 }
 
 #[test]
-fn two_are_drawn_only_where_servers_do_not_tell_their_load() {
-    on_paused_clock(async {
-        for (load, drawn_alone) in [(None, true), (Some("0,0,8"), false)] {
+fn two_random_servers_are_compared_only_where_servers_do_not_report_their_load() {
+    with_paused_clock(async {
+        for (load, uses_random_choices) in [(None, true), (Some("0,0,8"), false)] {
             let pool = three_servers();
             for _ in 0..3 {
-                let ticket = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
-                pool.record_success(&ticket, load);
+                let guard = pool.choose("s", &[], &RequestProfile::default()).expect("a server");
+                pool.record_success(&guard, load);
             }
-            let mut uses: Vec<ServerStats> =
+            let mut servers: Vec<ServerStats> =
                 ["a", "b"].map(|id| ServerStats::empty(ServerKey::from_id(id))).to_vec();
-            uses.iter_mut().for_each(|told| told.in_flight = 4);
-            pool.take_sums(&StatsTotals { reporters: 3, servers: uses });
+            servers.iter_mut().for_each(|stats| stats.in_flight = 4);
+            pool.apply_peer_totals(&StatsTotals { reporters: 3, servers });
             let chosen: Vec<String> = (0..100)
                 .filter_map(|_| pool.choose("s", &[], &RequestProfile::default()))
-                .map(|ticket| ticket.server.id.clone())
+                .map(|guard| guard.server.id.clone())
                 .collect();
-            assert_eq!(chosen.iter().any(|id| id != "c"), drawn_alone, "{load:?}");
+            assert_eq!(chosen.iter().any(|id| id != "c"), uses_random_choices, "{load:?}");
         }
     });
 }
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -5,38 +5,38 @@
 use std::time::Duration;
 
 #[test]
-fn events_are_cut_wherever_the_bytes_are() {
+fn events_are_parsed_regardless_of_how_the_bytes_are_split() {
     let stream = b"versions: 3\nid: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\nid: 3\ndata:";
     for size in 1..stream.len() {
-        let mut reader = EventParser::default();
+        let mut parser = EventParser::default();
         let mut events = Vec::new();
-        for piece in stream.chunks(size) {
-            reader.push(piece);
-            events.extend(reader.by_ref());
+        for chunk in stream.chunks(size) {
+            parser.push(chunk);
+            events.extend(parser.by_ref());
         }
-        let read: Vec<(Option<u64>, &str)> =
+        let parsed: Vec<(Option<u64>, &str)> =
             events.iter().map(|event| (event.id, event.data.as_str())).collect();
-        assert_eq!(read, [(Some(1), "one"), (Some(2), "two\nmore")], "in pieces of {size}");
-        assert!(reader.has_partial_event());
+        assert_eq!(parsed, [(Some(1), "one"), (Some(2), "two\nmore")], "chunks of {size} bytes");
+        assert!(parser.has_partial_event());
     }
 }
 
 #[test]
-fn events_count_only_in_their_order() {
+fn only_events_with_consecutive_ids_are_accepted() {
     type Case = (&'static str, &'static [Option<u64>], usize, Option<u64>);
     let cases: [Case; 7] = [
         ("in order", &[Some(1), Some(2), Some(3)], 3, Some(3)),
-        ("from another place", &[Some(7), Some(8)], 2, Some(8)),
-        ("twice", &[Some(1), Some(2), Some(2), Some(3)], 2, Some(2)),
+        ("starting at another id", &[Some(7), Some(8)], 2, Some(8)),
+        ("repeated", &[Some(1), Some(2), Some(2), Some(3)], 2, Some(2)),
         ("a gap", &[Some(1), Some(3)], 1, Some(1)),
-        ("back", &[Some(4), Some(1)], 1, Some(4)),
+        ("backwards", &[Some(4), Some(1)], 1, Some(4)),
         ("without an id", &[Some(1), None, Some(2)], 1, Some(1)),
-        ("nothing", &[], 0, None),
+        ("no events", &[], 0, None),
     ];
-    for (name, ids, taken, last) in cases {
+    for (name, ids, accepted, last) in cases {
         let mut order = EventOrder::default();
         let event = |id: &Option<u64>| Event { bytes: vec![], id: *id, data: String::new() };
-        assert_eq!(ids.iter().map(event).take_while(|event| order.accept(event)).count(), taken, "{name}");
+        assert_eq!(ids.iter().map(event).take_while(|event| order.accept(event)).count(), accepted, "{name}");
         assert_eq!(order.last_id(), last, "{name}");
     }
 }
@@ -72,13 +72,13 @@
     assert!(pool.choose("other", &[], &RequestProfile::default()).is_none());
     assert!(
         pool.choose("s", &["a".to_owned(), "b".to_owned()], &RequestProfile::default()).is_none(),
-        "draining is no choice"
+        "a draining server is not chosen"
     );
     pool.record_success(&first, Some("4,9,4"));
     drop((first, second));
     pool.record_failure("b");
     assert_eq!(
-        pool.choose("s", &[], &RequestProfile::default()).expect("the one that does not rest").server.id,
+        pool.choose("s", &[], &RequestProfile::default()).expect("the server without a cooldown").server.id,
         "a"
     );
 }
@@ -91,23 +91,23 @@
         let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
         pool.record_failure("a");
         let choose = || pool.choose("s", &[], &RequestProfile::default()).expect("a server");
-        let held: Vec<_> = (0..4).map(|_| choose()).collect();
-        assert!(held.iter().all(|ticket| ticket.server.id == "b"), "it rests");
+        let guards: Vec<_> = (0..4).map(|_| choose()).collect();
+        assert!(guards.iter().all(|guard| guard.server.id == "b"), "a is in its cooldown");
         tokio::time::advance(Duration::from_secs(1)).await;
-        let trial = choose();
-        assert_eq!(trial.server.id, "a");
-        assert_eq!(choose().server.id, "b", "one at a time");
-        pool.record_success(&trial, None);
-        assert_eq!(choose().server.id, "a", "it answers again");
+        let first = choose();
+        assert_eq!(first.server.id, "a");
+        assert_eq!(choose().server.id, "b", "a gets one request at a time");
+        pool.record_success(&first, None);
+        assert_eq!(choose().server.id, "a", "a has responded");
     });
 }
 
-fn same() -> RequestProfile {
+fn with_affinity() -> RequestProfile {
     RequestProfile { affinity: Some(7), prompt_tokens: 0, kind: RequestKind::Short }
 }
 
 #[test]
-fn a_large_shared_part_binds_a_request_to_a_server() {
+fn only_a_large_shared_prefix_yields_an_affinity() {
     let cases = [
         (None, false, 0),
         (Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"), true, 1_460),
@@ -115,28 +115,28 @@
         (Some("e4402b7d:2500"), false, 2_500),
         (Some("garbled,a:b,"), false, 0),
     ];
-    for (parts, bound, tokens) in cases {
-        let demand = RequestProfile::from_prefix_header(parts);
-        assert_eq!((demand.affinity.is_some(), demand.prompt_tokens), (bound, tokens), "{parts:?}");
+    for (header, has_affinity, tokens) in cases {
+        let profile = RequestProfile::from_prefix_header(header);
+        assert_eq!((profile.affinity.is_some(), profile.prompt_tokens), (has_affinity, tokens), "{header:?}");
     }
 }
 
 #[test]
-fn a_server_that_still_reads_prompts_is_left_in_favour_of_another() {
+fn a_server_that_still_processes_a_prompt_counts_as_loaded() {
     let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
     let large = RequestProfile { affinity: None, prompt_tokens: 50_000, kind: RequestKind::Short };
-    let reading = pool.choose("s", &[], &large).expect("a server");
-    let other = || pool.choose("s", &[], &RequestProfile::default()).expect("a server").server.id.clone();
-    assert!((0..3).all(|_| other() != reading.server.id));
-    pool.record_success(&reading, None);
-    // One is there still: the second of three may go to either, where both are alike.
-    let held: Vec<_> =
+    let processing = pool.choose("s", &[], &large).expect("a server");
+    let chosen_id = || pool.choose("s", &[], &RequestProfile::default()).expect("a server").server.id.clone();
+    assert!((0..3).all(|_| chosen_id() != processing.server.id));
+    pool.record_success(&processing, None);
+    // That request is still in flight: of the next three, the second may go to either server, as both have the same load.
+    let guards: Vec<_> =
         (0..3).map(|_| pool.choose("s", &[], &RequestProfile::default()).expect("a server")).collect();
-    assert!(held.iter().any(|ticket| ticket.server.id == reading.server.id), "its prompt is read");
+    assert!(guards.iter().any(|guard| guard.server.id == processing.server.id), "its prompt is processed");
 }
 
 #[test]
-fn short_requests_keep_away_from_the_servers_of_long_ones_unless_theirs_are_full() {
+fn short_requests_avoid_the_servers_for_long_prompts_until_their_own_are_much_fuller() {
     let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
     let long = RequestProfile { affinity: None, prompt_tokens: 6_000, kind: RequestKind::Long };
     let short = RequestProfile { affinity: None, prompt_tokens: 2_000, kind: RequestKind::Short };
@@ -145,85 +145,85 @@
     drop(first);
     let shorts: Vec<_> = (0..3).map(|_| pool.choose("s", &[], &short).expect("a server")).collect();
     assert_ne!(shorts[0].server.id, long_server);
-    assert_eq!(shorts[0].server.id, shorts[1].server.id, "though the other is idle");
-    assert_eq!(shorts[2].server.id, long_server, "until theirs is much fuller");
+    assert_eq!(shorts[0].server.id, shorts[1].server.id, "although the other server is idle");
+    assert_eq!(shorts[2].server.id, long_server, "the server for short requests is much fuller");
 }
 
 #[test]
-fn the_same_prompt_goes_to_the_same_server_until_it_is_crowded() {
+fn requests_with_the_same_prefix_go_to_the_same_server_until_it_is_much_fuller() {
     let pool = pool(vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
-    let home = pool.choose("s", &[], &same()).expect("a server");
-    let again = pool.choose("s", &[], &same()).expect("a server");
-    assert_eq!(home.server.id, again.server.id);
-    let third = pool.choose("s", &[], &same()).expect("a server");
-    assert_ne!(home.server.id, third.server.id);
+    let first = pool.choose("s", &[], &with_affinity()).expect("a server");
+    let second = pool.choose("s", &[], &with_affinity()).expect("a server");
+    assert_eq!(first.server.id, second.server.id);
+    let third = pool.choose("s", &[], &with_affinity()).expect("a server");
+    assert_ne!(first.server.id, third.server.id);
 }
 
 #[test]
-fn versions_only_rise() {
-    let known = TierState::default();
+fn a_configuration_is_replaced_only_by_a_newer_valid_one() {
+    let state = TierState::default();
     let configuration = |generation: u64| format!("{{\"generation\":{generation}}}").into_bytes();
-    assert!(known.update_configuration(7, configuration(7)));
-    assert!(!known.update_configuration(5, configuration(5)));
-    assert!(!known.update_configuration(9, b"{".to_vec()), "unreadable");
-    assert_eq!(known.generation(), 7);
+    assert!(state.update_configuration(7, configuration(7)));
+    assert!(!state.update_configuration(5, configuration(5)));
+    assert!(!state.update_configuration(9, b"{".to_vec()), "malformed");
+    assert_eq!(state.generation(), 7);
 }
 
 #[test]
-fn an_older_reading_of_the_list_does_not_undo_a_newer_one() {
+fn an_older_server_list_does_not_replace_a_newer_one() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
         tokio::time::advance(Duration::from_secs(10)).await;
-        let known = TierState::default();
+        let state = TierState::default();
         let list = |version| ServerList { version, reader_incarnation: version, servers: vec![] };
-        known.update_servers(Some(list(1)), Duration::from_millis(100));
-        known.update_servers(Some(list(2)), Duration::from_millis(900));
-        assert_eq!(known.servers().version, 1);
-        known.update_servers(Some(list(3)), Duration::from_millis(10));
-        assert_eq!(known.servers().version, 3);
+        state.update_servers(Some(list(1)), Duration::from_millis(100));
+        state.update_servers(Some(list(2)), Duration::from_millis(900));
+        assert_eq!(state.servers().version, 1);
+        state.update_servers(Some(list(3)), Duration::from_millis(10));
+        assert_eq!(state.servers().version, 3);
     });
 }
 
 #[test]
-fn a_source_out_of_touch_answers_at_once_and_gives_out_no_configuration() {
+fn a_source_without_a_confirmed_view_replies_at_once_and_sends_no_configuration() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
-        let known = TierState::default();
-        assert!(known.update_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
+        let state = TierState::default();
+        assert!(state.update_configuration(7, br#"{"generation":7,"routes":[],"services":[]}"#.to_vec()));
         let watch = fennelgauge_wire::WatchRequest { known: Default::default(), wait_ms: 400 };
-        let up_to_date = fennelgauge_wire::WatchRequest { known: known.known_versions(), wait_ms: 400 };
-        let given = |age_ms| {
-            known.wait_for_confirmed_update(&watch).map(move |news| (news.configuration.is_some(), age_ms))
+        let up_to_date = fennelgauge_wire::WatchRequest { known: state.known_versions(), wait_ms: 400 };
+        let reply_after = |age_ms| {
+            state.wait_for_confirmed_update(&watch).map(move |reply| (reply.configuration.is_some(), age_ms))
         };
-        assert_eq!(given(0).await, (false, 0), "nobody has confirmed its view yet");
+        assert_eq!(reply_after(0).await, (false, 0), "the view has not been confirmed yet");
         for (age_ms, expected) in [(0, true), (1_400, true), (1_600, false), (60_000, false)] {
             tokio::time::advance(Duration::from_secs(90)).await;
-            known.update_view_confirmation(Duration::from_millis(age_ms));
-            assert_eq!(given(age_ms).await, (expected, age_ms));
-            let began = tokio::time::Instant::now();
-            known.wait_for_confirmed_update(&up_to_date).await;
-            assert_eq!(began.elapsed().is_zero(), !expected, "a watcher is not kept from trying another");
+            state.update_view_confirmation(Duration::from_millis(age_ms));
+            assert_eq!(reply_after(age_ms).await, (expected, age_ms));
+            let started = tokio::time::Instant::now();
+            state.wait_for_confirmed_update(&up_to_date).await;
+            assert_eq!(started.elapsed().is_zero(), !expected, "the watcher can try another source at once");
         }
     });
 }
 
 #[test]
-fn long_prompts_are_kept_apart_only_where_they_are_far_longer() {
+fn servers_are_reserved_for_long_prompts_only_if_these_are_much_longer_than_the_others() {
     type Case = (&'static str, &'static [u64], bool);
     let cases: [Case; 4] = [
-        ("two kinds", &[12_000, 800, 800, 12_000, 900, 700, 800, 12_000], true),
+        ("two distinct lengths", &[12_000, 800, 800, 12_000, 900, 700, 800, 12_000], true),
         ("of all lengths", &[2_500, 1_200, 3_000, 1_900, 900, 1_500, 2_200, 1_700], false),
-        ("only long ones", &[12_000, 11_000, 13_000], true),
-        ("only short ones", &[800, 900, 700, 800, 800, 700], false),
+        ("only long prompts", &[12_000, 11_000, 13_000], true),
+        ("only short prompts", &[800, 900, 700, 800, 800, 700], false),
     ];
-    for (name, prompts, apart) in cases {
+    for (name, prompts, reserved) in cases {
         let mut mix = prompt_mix::PromptMix::new();
         let now = tokio::time::Instant::now();
         for tokens in prompts {
-            mix.count(&RequestProfile::from_prefix_header(Some(&format!("a1:{tokens}"))), now);
+            mix.record(&RequestProfile::from_prefix_header(Some(&format!("a1:{tokens}"))), now);
         }
-        assert_eq!(mix.long_part().is_some(), apart, "{name}");
+        assert_eq!(mix.long_prompt_fraction().is_some(), reserved, "{name}");
     }
 }
--- a/crates/upstream/src/tier_state.rs
+++ b/crates/upstream/src/tier_state.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the tier. Versions only rise; whoever knows something can pass it on to watchers.
+//! A process's copy of the tier's state. Versions never go back, and a process can pass its copy on to processes that watch it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,67 +12,77 @@
 
 use crate::configuration_texts::ConfigurationTexts;
 
-/// A source whose view was confirmed by a majority within this time is in touch.
-pub(crate) const IN_TOUCH: Duration = Duration::from_millis(1_500);
+/// Age up to which the confirmation of the core's view by a majority is current.
+pub(crate) const CONFIRMATION_TTL: Duration = Duration::from_millis(1_500);
+/// Longest time for which a watch request is held, in milliseconds.
+const MAX_WATCH_WAIT_MS: u64 = 5_000;
+/// Age that is sent for something that is not known at all, in milliseconds.
+const UNKNOWN_AGE_MS: u64 = 3_600_000;
 
-/// Shared by all parts of a process.
+/// The configuration, the server list, the stores and the core's view as far as this process knows them. Shared by all tasks of the
+/// process.
 #[derive(Default)]
 pub struct TierState {
-    table: RefCell<Option<Rc<RoutingTable>>>,
+    routing_table: RefCell<Option<Rc<RoutingTable>>>,
     texts: RefCell<ConfigurationTexts>,
-    /// The next news of the configuration are to be whole.
-    wants_whole: Cell<bool>,
+    /// Whether the next configuration update has to be complete, because the last one could not be applied.
+    needs_full_text: Cell<bool>,
     servers: RefCell<ServerList>,
-    servers_read: Cell<Option<Instant>>,
+    servers_read_at: Cell<Option<Instant>>,
     stores: RefCell<Rc<StoreView>>,
     view: RefCell<Option<Rc<View>>>,
-    confirmed: Cell<Option<Instant>>,
+    view_confirmed_at: Cell<Option<Instant>>,
     changed: Notify,
 }
 
 impl TierState {
-    /// Of a process that others watch: it keeps earlier configurations, so that watchers get changes only.
+    /// Creates the state of a process that others watch: it keeps earlier configurations, so that it can send changes instead of
+    /// complete texts.
     pub fn for_source() -> Self {
         Self { texts: RefCell::new(ConfigurationTexts::with_earlier()), ..Self::default() }
     }
 
-    /// The configuration in force, ready for look-ups.
+    /// Returns the routing table of the newest configuration; `None` before the first one.
     pub fn routing_table(&self) -> Option<Rc<RoutingTable>> {
-        self.table.borrow().clone()
+        self.routing_table.borrow().clone()
     }
 
+    /// Returns the generation of the newest configuration; 0 before the first one.
     pub fn generation(&self) -> u64 {
         self.texts.borrow().generation()
     }
 
+    /// Returns the newest view of the stores.
     pub fn stores(&self) -> Rc<StoreView> {
         self.stores.borrow().clone()
     }
 
+    /// Returns the newest view of the core; `None` before the first one.
     pub fn view(&self) -> Option<Rc<View>> {
         self.view.borrow().clone()
     }
 
+    /// Returns the newest server list, which is empty before the first one.
     pub fn servers(&self) -> std::cell::Ref<'_, ServerList> {
         self.servers.borrow()
     }
 
-    /// How long ago the list of servers was read; none before the first.
+    /// Returns the time since the server list was read from the platform; `None` before the first one.
     pub fn server_list_age(&self) -> Option<Duration> {
-        self.servers_read.get().map(|read| read.elapsed())
+        self.servers_read_at.get().map(|read_at| read_at.elapsed())
     }
 
-    /// How long ago the core's view was confirmed, as far as is known here.
+    /// Returns the time since a majority last confirmed the core's view, as far as this process knows.
     pub fn view_confirmation_age(&self) -> Option<Duration> {
-        self.confirmed.get().map(|confirmed| confirmed.elapsed())
+        self.view_confirmed_at.get().map(|confirmed_at| confirmed_at.elapsed())
     }
 
-    /// Waits for the next change of anything.
+    /// Waits for the next change of the configuration, the server list, the stores or the view.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Takes a configuration unless it is older. One that cannot be read is left alone.
+    /// Replaces the configuration if `generation` is higher and the document can be parsed; returns whether it was replaced.
     pub fn update_configuration(&self, generation: u64, json: Vec<u8>) -> bool {
         if generation <= self.generation() {
             return false;
@@ -80,45 +90,47 @@
         let configuration: Configuration = match serde_json::from_slice(&json) {
             Ok(configuration) => configuration,
             Err(reason) => {
-                log::error!("configuration {generation} cannot be read and is left alone: {reason}");
+                log::error!("configuration {generation} is ignored because it cannot be parsed: {reason}");
                 return false;
             }
         };
-        *self.table.borrow_mut() = Some(Rc::new(RoutingTable::new(configuration)));
+        *self.routing_table.borrow_mut() = Some(Rc::new(RoutingTable::new(configuration)));
         self.texts.borrow_mut().put(generation, json);
         log::info!("configuration {generation} is in force");
         self.changed.notify_waiters();
         true
     }
 
-    /// Takes a configuration as a source sent it. Changes that do not fit are left alone: the whole text is asked for.
-    fn take_news(&self, news: &ConfigurationUpdate) {
-        let read = self.texts.borrow().read(news);
-        match read {
+    /// Applies a configuration update from a source. If it cannot be decoded, the next watch request asks for the complete text.
+    fn apply_configuration_update(&self, update: &ConfigurationUpdate) {
+        let json = self.texts.borrow().decode_update(update);
+        match json {
             Ok(json) => {
-                self.wants_whole.set(false);
-                self.update_configuration(news.generation, json);
+                self.needs_full_text.set(false);
+                self.update_configuration(update.generation, json);
             }
             Err(reason) => {
-                log::warn!("configuration {}: {reason}", news.generation);
-                self.wants_whole.set(true);
+                log::warn!("update to configuration {} cannot be applied: {reason}", update.generation);
+                self.needs_full_text.set(true);
             }
         }
     }
 
-    /// Takes a list of servers that was read `age` ago, unless a later reading is known.
+    /// Records that the server list was read from the platform `age` ago, and replaces it if `list` is given. Ignored if a later reading
+    /// is known.
     pub fn update_servers(&self, list: Option<ServerList>, age: Duration) {
-        let Some(read) = Instant::now().checked_sub(age) else { return };
-        if self.servers_read.get().is_some_and(|known| known >= read) {
+        let Some(read_at) = Instant::now().checked_sub(age) else { return };
+        if self.servers_read_at.get().is_some_and(|known| known >= read_at) {
             return;
         }
-        self.servers_read.set(Some(read));
+        self.servers_read_at.set(Some(read_at));
         if let Some(list) = list {
             *self.servers.borrow_mut() = list;
             self.changed.notify_waiters();
         }
     }
 
+    /// Replaces the view of the stores if the epoch of `stores` is higher.
     pub fn update_stores(&self, stores: StoreView) {
         if stores.epoch > self.stores.borrow().epoch {
             *self.stores.borrow_mut() = Rc::new(stores);
@@ -126,105 +138,111 @@
         }
     }
 
+    /// Replaces the view of the core if the epoch of `view` is higher.
     pub fn update_view(&self, view: &View) {
-        let known = self.view.borrow().as_ref().map_or(0, |view| view.epoch);
-        if view.epoch > known {
+        let known_epoch = self.view.borrow().as_ref().map_or(0, |view| view.epoch);
+        if view.epoch > known_epoch {
             *self.view.borrow_mut() = Some(Rc::new(view.clone()));
             self.changed.notify_waiters();
         }
     }
 
-    /// The core's view was confirmed that long ago.
+    /// Records that a majority confirmed the core's view `age` ago. Ignored if a later confirmation is known.
     pub fn update_view_confirmation(&self, age: Duration) {
-        let Some(confirmed) = Instant::now().checked_sub(age) else { return };
-        if self.confirmed.get().is_none_or(|known| known < confirmed) {
-            self.confirmed.set(Some(confirmed));
+        let Some(confirmed_at) = Instant::now().checked_sub(age) else { return };
+        if self.view_confirmed_at.get().is_none_or(|known| known < confirmed_at) {
+            self.view_confirmed_at.set(Some(confirmed_at));
         }
     }
 
-    /// Takes all that is newer.
-    pub fn apply_update(&self, news: WatchReply) {
-        if let Some(configuration) = news.configuration {
-            self.take_news(&configuration);
+    /// Applies the reply of a source to a watch request; whatever is not newer than the own state is ignored.
+    pub fn apply_update(&self, reply: WatchReply) {
+        if let Some(update) = reply.configuration {
+            self.apply_configuration_update(&update);
         }
-        self.update_servers(news.server_list, Duration::from_millis(news.server_list_age_ms));
-        if let Some(stores) = news.store_view {
+        self.update_servers(reply.server_list, Duration::from_millis(reply.server_list_age_ms));
+        if let Some(stores) = reply.store_view {
             self.update_stores(stores);
         }
-        if let Some(view) = news.core_view {
+        if let Some(view) = reply.core_view {
             self.update_view(&view);
         }
-        self.update_view_confirmation(Duration::from_millis(news.confirmed_age_ms));
+        self.update_view_confirmation(Duration::from_millis(reply.confirmed_age_ms));
     }
 
-    /// What this process has.
+    /// Returns the versions that a watch request reports. The generation is 0 if the complete configuration is needed.
     pub fn known_versions(&self) -> KnownVersions {
         let servers = self.servers.borrow();
         KnownVersions {
-            generation: if self.wants_whole.get() { 0 } else { self.generation() },
+            generation: if self.needs_full_text.get() { 0 } else { self.generation() },
             server_list: (servers.reader_incarnation, servers.version),
             store_view: self.stores.borrow().epoch,
             core_view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
         }
     }
 
-    /// Answers a watcher as soon as there is something newer, or when its time is up.
+    /// Answers a watch request as soon as something is newer than what the watcher knows, or when its wait time is over.
     pub async fn wait_for_update(&self, watch: &WatchRequest) -> WatchReply {
-        let until = Instant::now() + Duration::from_millis(watch.wait_ms.min(5_000));
+        let deadline = Instant::now() + Duration::from_millis(watch.wait_ms.min(MAX_WATCH_WAIT_MS));
         loop {
             let changed = self.changed.notified();
             if self.is_newer_than(&watch.known) {
-                return self.news(&watch.known);
+                return self.reply_to(&watch.known);
             }
-            if tokio::time::timeout_at(until, changed).await.is_err() {
-                return self.news(&watch.known);
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
+                return self.reply_to(&watch.known);
             }
         }
     }
 
-    /// Whether this process, as a source, knew of a majority's agreement a moment ago.
-    fn is_in_touch(&self) -> bool {
-        self.view_confirmation_age().is_some_and(|age| age <= IN_TOUCH)
+    /// Returns whether a majority confirmed the core's view within [`CONFIRMATION_TTL`].
+    fn is_view_confirmed(&self) -> bool {
+        self.view_confirmation_age().is_some_and(|age| age <= CONFIRMATION_TTL)
     }
 
-    /// As [`TierState::wait_for_update`]; but a process that is out of touch with a majority answers at once, so that the watcher can try
-    /// another, and gives out neither configuration nor stores: there may be newer ones, and a watcher that has just
-    /// started could not tell.
+    /// Like [`TierState::wait_for_update`], for a member of the core. Without a current confirmation of its view it answers at once, so
+    /// that the watcher can try another source, and sends neither configuration nor stores: there may be newer ones, which a watcher
+    /// that has just started could not know.
     pub async fn wait_for_confirmed_update(&self, watch: &WatchRequest) -> WatchReply {
-        let mut news = match self.is_in_touch() {
+        let mut reply = match self.is_view_confirmed() {
             true => self.wait_for_update(watch).await,
-            false => self.news(&watch.known),
+            false => self.reply_to(&watch.known),
         };
-        if !self.is_in_touch() {
-            news.configuration = None;
-            news.store_view = None;
+        if !self.is_view_confirmed() {
+            reply.configuration = None;
+            reply.store_view = None;
         }
-        news
+        reply
     }
 
-    fn is_newer_than(&self, have: &KnownVersions) -> bool {
+    fn is_newer_than(&self, known: &KnownVersions) -> bool {
         let own = self.known_versions();
-        self.generation() > have.generation
-            || own.store_view > have.store_view
-            || own.core_view > have.core_view
-            || (own.server_list != have.server_list && self.servers_read.get().is_some())
+        self.generation() > known.generation
+            || own.store_view > known.store_view
+            || own.core_view > known.core_view
+            || (own.server_list != known.server_list && self.servers_read_at.get().is_some())
     }
 
-    fn news(&self, have: &KnownVersions) -> WatchReply {
+    fn reply_to(&self, known: &KnownVersions) -> WatchReply {
         let own = self.known_versions();
-        let has_newer = self.generation() > have.generation;
+        let has_newer = self.generation() > known.generation;
         WatchReply {
-            configuration: has_newer.then(|| self.texts.borrow_mut().news(have.generation)),
-            server_list: (own.server_list != have.server_list).then(|| self.servers.borrow().clone()),
+            configuration: has_newer.then(|| self.texts.borrow_mut().encode_update(known.generation)),
+            server_list: (own.server_list != known.server_list).then(|| self.servers.borrow().clone()),
             server_list_age_ms: age_ms(self.server_list_age()),
-            store_view: (own.store_view > have.store_view).then(|| StoreView::clone(&self.stores.borrow())),
-            core_view: self.view.borrow().as_ref().filter(|_| own.core_view > have.core_view).map(|view| View::clone(view)),
+            store_view: (own.store_view > known.store_view).then(|| StoreView::clone(&self.stores.borrow())),
+            core_view: self
+                .view
+                .borrow()
+                .as_ref()
+                .filter(|_| own.core_view > known.core_view)
+                .map(|view| View::clone(view)),
             confirmed_age_ms: age_ms(self.view_confirmation_age()),
         }
     }
 }
 
-/// In milliseconds; an hour where nothing is known.
+/// Returns an age in milliseconds, or [`UNKNOWN_AGE_MS`].
 fn age_ms(age: Option<Duration>) -> u64 {
-    age.map_or(3_600_000, |age| age.as_millis() as u64)
+    age.map_or(UNKNOWN_AGE_MS, |age| age.as_millis() as u64)
 }
--- a/crates/upstream/tests/clock.rs
+++ b/crates/upstream/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The time of day through steps of the machine's clock.
+//! Tests of the wall clock with steps of the system clock.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
     Duration::from_secs(seconds)
 }
 
-/// Seconds on the steady clock, what the machine says, what is believed.
+/// Seconds of the monotonic clock, of the system clock, and of the expected time of day.
 type Reading = (u64, u64, u64);
 
 #[test]
-fn a_step_is_passed_over_until_it_has_lasted() {
+fn a_step_is_ignored_until_it_has_lasted_for_two_minutes() {
     let cases: [(&str, &[Reading]); 4] = [
         ("no step", &[(0, 1_000, 1_000), (5, 1_005, 1_005), (90, 1_090, 1_090)]),
-        ("ahead and back", &[(1, 1_001, 1_001), (2, 1_004, 1_002), (9, 1_011, 1_009), (10, 1_010, 1_010)]),
-        ("back and ahead", &[(1, 1_001, 1_001), (2, 999, 1_002), (9, 1_006, 1_009), (10, 1_010, 1_010)]),
+        ("forwards and back", &[(1, 1_001, 1_001), (2, 1_004, 1_002), (9, 1_011, 1_009), (10, 1_010, 1_010)]),
+        ("backwards and forth", &[(1, 1_001, 1_001), (2, 999, 1_002), (9, 1_006, 1_009), (10, 1_010, 1_010)]),
         (
-            "for good",
+            "permanent step",
             &[
                 (1, 1_001, 1_001),
                 (2, 1_062, 1_002),
@@ -28,19 +28,19 @@
             ],
         ),
     ];
-    for (what, readings) in cases {
+    for (name, readings) in cases {
         let mut clock = WallClock::new(s(1_000));
-        for (steady, told, believed) in readings {
-            assert_eq!(clock.read(s(*steady), s(*told)), s(*believed), "{what}, at {steady} s");
+        for (monotonic, system, expected) in readings {
+            assert_eq!(clock.read(s(*monotonic), s(*system)), s(*expected), "{name}, at {monotonic} s");
         }
     }
 }
 
 #[test]
-fn small_differences_are_followed() {
+fn small_deviations_of_the_system_clock_are_followed() {
     let mut clock = WallClock::new(s(1_000));
     for second in 1..200 {
-        let told = Duration::from_millis(1_000_000 + second * 1_010);
-        assert_eq!(clock.read(s(second), told), told);
+        let system = Duration::from_millis(1_000_000 + second * 1_010);
+        assert_eq!(clock.read(s(second), system), system);
     }
 }
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Answers over real connections: whole, broken off, of another request, with more than was asked for.
+//! Tests of HTTP exchanges over TCP connections: complete, truncated, foreign and surplus responses.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,30 +13,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 
-const WITHIN: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn local<F: Future<Output = ()>>(test: F) {
+fn run_local<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A server that answers each request of a connection with the same bytes, and then closes it or not.
-async fn answering(bytes: &'static [u8], closes: bool) -> (Server, Rc<std::cell::Cell<u32>>) {
+/// Starts a server that responds to each request with `bytes` and, with `closes`, closes the connection after the first response. Returns
+/// it with a counter of its connections.
+async fn responding_server(bytes: &'static [u8], closes: bool) -> (Server, Rc<std::cell::Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let connections = Rc::new(std::cell::Cell::new(0));
-    let counted = connections.clone();
+    let counter = connections.clone();
     spawn_local(async move {
         loop {
             let (stream, _) = listener.accept().await.expect("a connection");
-            counted.set(counted.get() + 1);
-            spawn_local(answer(stream, bytes, closes));
+            counter.set(counter.get() + 1);
+            spawn_local(respond(stream, bytes, closes));
         }
     });
     (server(addr), connections)
 }
 
-async fn answer(mut stream: TcpStream, bytes: &'static [u8], closes: bool) {
+async fn respond(mut stream: TcpStream, bytes: &'static [u8], closes: bool) {
     let mut request = vec![0; 4_096];
     while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
         stream.write_all(bytes).await.expect("written");
@@ -58,7 +59,7 @@
     }
 }
 
-fn outgoing() -> OutgoingRequest {
+fn request() -> OutgoingRequest {
     OutgoingRequest {
         method: Method::POST,
         path_and_query: "/a".to_owned(),
@@ -69,26 +70,26 @@
     }
 }
 
-/// The body of an answer; an error if it is not whole.
+/// Sends a request and returns the body of the response; errs if it is incomplete.
 async fn body(sender: &RequestSender, server: &Server) -> Result<Vec<u8>, String> {
-    let sent = sender.send(server, &outgoing(), WITHIN, WITHIN).await;
-    let mut answer = sent.map_err(|error| error.to_string())?;
+    let response = sender.send(server, &request(), TIMEOUT, TIMEOUT).await;
+    let mut response = response.map_err(|error| error.to_string())?;
     let mut body = Vec::new();
-    while let Some(piece) = answer.next().await {
-        body.extend_from_slice(&piece.map_err(|error| error.to_string())?);
+    while let Some(chunk) = response.next().await {
+        body.extend_from_slice(&chunk.map_err(|error| error.to_string())?);
     }
     Ok(body)
 }
 
-/// A server that answers once with these bytes and then resets the connection.
-async fn resetting(bytes: &'static [u8]) -> Server {
+/// Starts a server that responds with `bytes` and then resets the connection.
+async fn resetting_server(bytes: &'static [u8]) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     spawn_local(async move {
         loop {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.write_all(bytes).await.expect("written");
-            // Closed while the request is unread: that is a reset.
+            // Closing a connection with unread data resets it.
             stream.readable().await.expect("a request");
             drop(stream);
         }
@@ -97,24 +98,25 @@
 }
 
 #[test]
-fn a_body_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
+fn a_body_without_a_length_ends_with_the_connection_but_not_with_a_reset() {
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\n\r\nbody";
-    local(async {
+    run_local(async {
         let sender = RequestSender::default();
-        let (ending, connections) = answering(HEAD, true).await;
-        assert_eq!(body(&sender, &ending).await, Ok(b"body".to_vec()));
-        assert_eq!(body(&sender, &ending).await, Ok(b"body".to_vec()));
-        assert_eq!(connections.get(), 2, "such a connection is not used again");
-        let reset = resetting(HEAD).await;
-        assert!(body(&sender, &reset).await.is_err(), "a reset is no end");
+        let (closing, connections) = responding_server(HEAD, true).await;
+        assert_eq!(body(&sender, &closing).await, Ok(b"body".to_vec()));
+        assert_eq!(body(&sender, &closing).await, Ok(b"body".to_vec()));
+        assert_eq!(connections.get(), 2, "the connection is not reused");
+        let resetting = resetting_server(HEAD).await;
+        assert!(body(&sender, &resetting).await.is_err(), "a reset does not end a body");
         let (empty, _) =
-            answering(b"HTTP/1.1 204 No Content\r\nX-Fennelgauge-Request-Id: r-1\r\n\r\n", false).await;
-        assert_eq!(body(&sender, &empty).await, Ok(Vec::new()), "an answer that has no body");
+            responding_server(b"HTTP/1.1 204 No Content\r\nX-Fennelgauge-Request-Id: r-1\r\n\r\n", false)
+                .await;
+        assert_eq!(body(&sender, &empty).await, Ok(Vec::new()), "a response that has no body");
     });
 }
 
 #[test]
-fn a_body_is_whole_only_when_its_framing_says_so() {
+fn a_body_is_complete_only_if_its_framing_says_so() {
     let cases: [(&str, &'static [u8], bool); 6] = [
         ("with a length", b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbody", true),
         (
@@ -122,7 +124,7 @@
             b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
             true,
         ),
-        ("short of its length", b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 9\r\n\r\nbody", false),
+        ("shorter than its length", b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 9\r\n\r\nbody", false),
         (
             "between two chunks",
             b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
@@ -134,22 +136,22 @@
             false,
         ),
         (
-            "garbled chunk",
+            "malformed chunk",
             b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbody\r\n",
             false,
         ),
     ];
-    local(async move {
-        for (name, bytes, whole) in cases {
-            let (server, _) = answering(bytes, true).await;
+    run_local(async move {
+        for (name, bytes, complete) in cases {
+            let (server, _) = responding_server(bytes, true).await;
             let body = body(&RequestSender::default(), &server).await;
-            assert_eq!(body.is_ok(), whole, "{name}: {body:?}");
+            assert_eq!(body.is_ok(), complete, "{name}: {body:?}");
         }
     });
 }
 
 #[test]
-fn what_is_no_answer_to_the_request_may_have_run() {
+fn without_a_valid_response_the_request_may_have_been_executed() {
     let cases: [(&str, &'static [u8], SendError); 4] = [
         (
             "of another request",
@@ -157,35 +159,35 @@
             SendError::MayHaveExecuted,
         ),
         ("without an id", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", SendError::MayHaveExecuted),
-        ("no HTTP", b"hello, is it me?\r\n\r\n", SendError::MayHaveExecuted),
+        ("not HTTP", b"hello, is it me?\r\n\r\n", SendError::MayHaveExecuted),
         (
-            "refused",
+            "not executed",
             b"HTTP/1.1 503 Busy\r\nX-Fennelgauge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
             SendError::NotExecuted(awc::http::StatusCode::SERVICE_UNAVAILABLE),
         ),
     ];
-    local(async move {
+    run_local(async move {
         for (name, bytes, expected) in cases {
-            let (server, _) = answering(bytes, true).await;
-            let sent = RequestSender::default().send(&server, &outgoing(), WITHIN, WITHIN).await;
-            assert_eq!(sent.err(), Some(expected), "{name}");
+            let (server, _) = responding_server(bytes, true).await;
+            let result = RequestSender::default().send(&server, &request(), TIMEOUT, TIMEOUT).await;
+            assert_eq!(result.err(), Some(expected), "{name}");
         }
-        let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let sent = RequestSender::default().send(&server(nobody), &outgoing(), WITHIN, WITHIN).await;
-        assert_eq!(sent.err(), Some(SendError::NotSent));
+        let unused = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let result = RequestSender::default().send(&server(unused), &request(), TIMEOUT, TIMEOUT).await;
+        assert_eq!(result.err(), Some(SendError::NotSent));
     });
 }
 
 #[test]
-fn a_connection_is_used_again_only_when_nothing_is_left_on_it() {
-    let whole = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbody";
-    let more = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbodyHTTP/1.1 200 OK\r\n\r\n";
+fn a_connection_is_reused_only_if_no_surplus_data_was_received() {
+    let complete = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbody";
+    let surplus = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbodyHTTP/1.1 200 OK\r\n\r\n";
     let close = b"HTTP/1.1 200 OK\r\nX-Fennelgauge-Request-Id: r-1\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody";
     let cases: [(&str, &'static [u8], u32); 3] =
-        [("clean", whole, 1), ("more on it", more, 3), ("to be closed", close, 3)];
-    local(async move {
+        [("complete", complete, 1), ("surplus data", surplus, 3), ("Connection: close", close, 3)];
+    run_local(async move {
         for (name, bytes, expected) in cases {
-            let (server, connections) = answering(bytes, false).await;
+            let (server, connections) = responding_server(bytes, false).await;
             let sender = RequestSender::default();
             for _ in 0..3 {
                 assert_eq!(body(&sender, &server).await.as_deref(), Ok(b"body".as_slice()), "{name}");
