--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -156,7 +156,7 @@
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
         if replica.newest_view().epoch > 0 {
-            self.known.update_view(replica.newest_view());
+            self.known.update_core_view(replica.newest_view());
         }
         if let Some(confirmed) = coordinator.confirmed_at() {
             self.known.update_view_confirmation(self.started.elapsed().saturating_sub(confirmed));
@@ -165,8 +165,8 @@
         if state.generation() > self.known.generation() {
             self.known.update_configuration(state.generation(), state.configuration.json().to_vec());
         }
-        if state.small.stores.epoch > self.known.stores().epoch {
-            self.known.update_stores(state.small.stores.clone());
+        if state.small.stores.epoch > self.known.store_view().epoch {
+            self.known.update_store_view(state.small.stores.clone());
         }
     }
 
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -229,7 +229,7 @@
 fn seen(core: &Core, collector: &UsageCollector, service: &Service) -> Seen {
     let (answers, late) = collector.fresh_timeliness(&service.name);
     let mut servers: BTreeMap<String, u32> = BTreeMap::new();
-    for server in &core.known.servers().servers {
+    for server in &core.known.server_list().servers {
         if server.backend == service.name {
             let count = servers.entry(server.zone.clone()).or_default();
             *count += u32::from(server.state == ServerState::Ready);
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -112,7 +112,7 @@
         request: CoreRequest,
         within: Duration,
     ) -> Option<CoreReply> {
-        let known = self.core.known.view();
+        let known = self.core.known.core_view();
         let view = match known {
             Some(view) if view.epoch >= self.core.epoch() => (*view).clone(),
             _ => self.core.view(),
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -27,7 +27,7 @@
         if core.is_head() || (stale && core.is_link()) {
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    core.known.update_servers(Some(reader.assign_version(servers)), began.elapsed())
+                    core.known.update_server_list(Some(reader.assign_version(servers)), began.elapsed())
                 }
                 Err(reason) => log::warn!("{reason}"),
             }
@@ -55,7 +55,7 @@
         match core.caller.call(head.peer, watch, FOLLOW_WAIT * 2).await {
             Ok(Reply::Watch(news)) => {
                 let age = Duration::from_millis(news.server_list_age_ms);
-                core.known.update_servers(news.server_list, age);
+                core.known.update_server_list(news.server_list, age);
             }
             _ => sleep(FOLLOW_WAIT / 2).await,
         }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -195,7 +195,7 @@
     /// The newest view known here; an empty one while only earlier ones are known than this store took part in, and while the
     /// core was not heard for so long that this store may have been given up.
     fn view(&self) -> Rc<StoreView> {
-        let view = self.known.stores();
+        let view = self.known.store_view();
         let has_lease = self.known.view_confirmation_age().is_some_and(|age| age < STORE_LEASE);
         match has_lease && view.epoch >= self.earliest_view {
             true => view,
--- a/crates/control-plane/src/store/presence.rs
+++ b/crates/control-plane/src/store/presence.rs
@@ -28,7 +28,7 @@
             if self.disk_health.is_in_trouble() {
                 continue;
             }
-            let Some(view) = self.known.view() else { continue };
+            let Some(view) = self.known.core_view() else { continue };
             let Some(head) = view.head() else { continue };
             let heard = Heard {
                 member: self.me.clone(),
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -89,12 +89,12 @@
             if self.running.borrow().is_empty() {
                 let _ = timeout(LOOK_EVERY, self.changed.notified()).await;
             }
-            self.pool.update(&self.known.servers());
+            self.pool.update(&self.known.server_list());
             let view = self.view();
             self.stop_foreign_items(&view);
             if tidied.elapsed() >= LOOK_EVERY {
                 tidied = Instant::now();
-                self.sender.retain_servers(&self.known.servers().servers);
+                self.sender.retain_servers(&self.known.server_list().servers);
                 self.remove_old_jobs(&view);
             }
             let mut candidates = self.candidates(&view);
@@ -130,7 +130,7 @@
 
     /// What a service's servers offer to this store's items.
     fn offer(&self, service: &str) -> Offer {
-        let servers = self.known.servers();
+        let servers = self.known.server_list();
         let of_service = servers.servers.iter().filter(|server| server.backend == service);
         Offer {
             slots: of_service.map(|server| server.slots as usize).sum(),
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -81,7 +81,7 @@
     for place in to {
         let known = &stores[*place].store.known;
         known.update_view_confirmation(Duration::ZERO);
-        known.update_stores(view.clone());
+        known.update_store_view(view.clone());
     }
 }
 
@@ -210,7 +210,7 @@
             let mut view = StoreView::default();
             view.epoch = told;
             store.known.update_view_confirmation(Duration::ZERO);
-            store.known.update_stores(view);
+            store.known.update_store_view(view);
             assert_eq!(store.view().epoch, taken_part_in, "told of view {told}");
         }
     });
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -132,7 +132,7 @@
 ) -> Asked {
     let mut arrived = false;
     loop {
-        let view = plane.known.stores();
+        let view = plane.known.store_view();
         if let Some(store) = store(&view, group) {
             let left = until.saturating_duration_since(Instant::now()).min(within);
             let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), left);
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -91,7 +91,7 @@
     /// in touch with a majority gives out a configuration, so what is known was in force when it came.
     pub fn is_ready(&self) -> bool {
         if !self.ready.get() {
-            let servers = !self.known.servers().servers.is_empty();
+            let servers = !self.known.server_list().servers.is_empty();
             self.ready.set(self.known.routing_table().is_some() && servers);
         }
         self.ready.get() && !self.is_stopping()
@@ -159,16 +159,16 @@
     let client = platform_client();
     let mut reader = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
     loop {
-        plane.pool.update(&plane.known.servers());
-        plane.sender.retain_servers(&plane.known.servers().servers);
+        plane.pool.update(&plane.known.server_list());
+        plane.sender.retain_servers(&plane.known.server_list().servers);
         let silent = plane.known.server_list_age().is_none_or(|age| age > OWN_LIST_AFTER);
         let long_up = plane.started.elapsed() > OWN_LIST_AFTER * 2;
         if let (true, true, Some(platform)) = (silent, long_up, plane.settings.cloud.addr) {
             let began = Instant::now();
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.update_servers(Some(reader.assign_version(servers)), began.elapsed());
-                    plane.pool.update(&plane.known.servers());
+                    plane.known.update_server_list(Some(reader.assign_version(servers)), began.elapsed());
+                    plane.pool.update(&plane.known.server_list());
                 }
                 Err(reason) => log::warn!("{reason}"),
             }
--- a/crates/data-plane/src/usage.rs
+++ b/crates/data-plane/src/usage.rs
@@ -54,7 +54,7 @@
 pub async fn report_usage(plane: Rc<Plane>) {
     for round in 0_u64.. {
         sleep(REPORT_EVERY).await;
-        let Some(view) = plane.known.view() else { continue };
+        let Some(view) = plane.known.core_view() else { continue };
         let timeliness = plane.timeliness.borrow().report();
         let report = plane.usage.borrow().report(&plane.settings.node, timeliness);
         if report.windows.is_empty() && report.timeliness.is_empty() {
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -101,7 +101,7 @@
 /// Returns the members of the core in order of preference: the chain, with members in the own zone first and otherwise in an order that
 /// depends on the node, so that watchers spread over them; then the other voters.
 fn core_sources(state: &TierState, subscription: &Subscription) -> Vec<SocketAddr> {
-    let Some(view) = state.view() else { return Vec::new() };
+    let Some(view) = state.core_view() else { return Vec::new() };
     let mut chain: Vec<_> = view.chain.iter().collect();
     chain.sort_by_key(|member| {
         let node_pair = format!("{}/{}", subscription.node, member.identity.node);
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -177,11 +177,11 @@
         tokio::time::advance(Duration::from_secs(10)).await;
         let state = TierState::default();
         let list = |version| ServerList { version, reader_incarnation: version, servers: vec![] };
-        state.update_servers(Some(list(1)), Duration::from_millis(100));
-        state.update_servers(Some(list(2)), Duration::from_millis(900));
-        assert_eq!(state.servers().version, 1);
-        state.update_servers(Some(list(3)), Duration::from_millis(10));
-        assert_eq!(state.servers().version, 3);
+        state.update_server_list(Some(list(1)), Duration::from_millis(100));
+        state.update_server_list(Some(list(2)), Duration::from_millis(900));
+        assert_eq!(state.server_list().version, 1);
+        state.update_server_list(Some(list(3)), Duration::from_millis(10));
+        assert_eq!(state.server_list().version, 3);
     });
 }
 
--- a/crates/upstream/src/tier_state.rs
+++ b/crates/upstream/src/tier_state.rs
@@ -27,10 +27,10 @@
     texts: RefCell<ConfigurationTexts>,
     /// Whether the next configuration update has to be complete, because the last one could not be applied.
     needs_full_text: Cell<bool>,
-    servers: RefCell<ServerList>,
-    servers_read_at: Cell<Option<Instant>>,
-    stores: RefCell<Rc<StoreView>>,
-    view: RefCell<Option<Rc<View>>>,
+    server_list: RefCell<ServerList>,
+    server_list_read_at: Cell<Option<Instant>>,
+    store_view: RefCell<Rc<StoreView>>,
+    core_view: RefCell<Option<Rc<View>>>,
     view_confirmed_at: Cell<Option<Instant>>,
     changed: Notify,
 }
@@ -53,23 +53,23 @@
     }
 
     /// Returns the newest view of the stores.
-    pub fn stores(&self) -> Rc<StoreView> {
-        self.stores.borrow().clone()
+    pub fn store_view(&self) -> Rc<StoreView> {
+        self.store_view.borrow().clone()
     }
 
     /// Returns the newest view of the core; `None` before the first one.
-    pub fn view(&self) -> Option<Rc<View>> {
-        self.view.borrow().clone()
+    pub fn core_view(&self) -> Option<Rc<View>> {
+        self.core_view.borrow().clone()
     }
 
     /// Returns the newest server list, which is empty before the first one.
-    pub fn servers(&self) -> std::cell::Ref<'_, ServerList> {
-        self.servers.borrow()
+    pub fn server_list(&self) -> std::cell::Ref<'_, ServerList> {
+        self.server_list.borrow()
     }
 
     /// Returns the time since the server list was read from the platform; `None` before the first one.
     pub fn server_list_age(&self) -> Option<Duration> {
-        self.servers_read_at.get().map(|read_at| read_at.elapsed())
+        self.server_list_read_at.get().map(|read_at| read_at.elapsed())
     }
 
     /// Returns the time since a majority last confirmed the core's view, as far as this process knows.
@@ -118,31 +118,31 @@
 
     /// Records that the server list was read from the platform `age` ago, and replaces it if `list` is given. Ignored if a later reading
     /// is known.
-    pub fn update_servers(&self, list: Option<ServerList>, age: Duration) {
+    pub fn update_server_list(&self, list: Option<ServerList>, age: Duration) {
         let Some(read_at) = Instant::now().checked_sub(age) else { return };
-        if self.servers_read_at.get().is_some_and(|known| known >= read_at) {
+        if self.server_list_read_at.get().is_some_and(|known| known >= read_at) {
             return;
         }
-        self.servers_read_at.set(Some(read_at));
+        self.server_list_read_at.set(Some(read_at));
         if let Some(list) = list {
-            *self.servers.borrow_mut() = list;
+            *self.server_list.borrow_mut() = list;
             self.changed.notify_waiters();
         }
     }
 
     /// Replaces the view of the stores if the epoch of `stores` is higher.
-    pub fn update_stores(&self, stores: StoreView) {
-        if stores.epoch > self.stores.borrow().epoch {
-            *self.stores.borrow_mut() = Rc::new(stores);
+    pub fn update_store_view(&self, stores: StoreView) {
+        if stores.epoch > self.store_view.borrow().epoch {
+            *self.store_view.borrow_mut() = Rc::new(stores);
             self.changed.notify_waiters();
         }
     }
 
     /// Replaces the view of the core if the epoch of `view` is higher.
-    pub fn update_view(&self, view: &View) {
-        let known_epoch = self.view.borrow().as_ref().map_or(0, |view| view.epoch);
+    pub fn update_core_view(&self, view: &View) {
+        let known_epoch = self.core_view.borrow().as_ref().map_or(0, |view| view.epoch);
         if view.epoch > known_epoch {
-            *self.view.borrow_mut() = Some(Rc::new(view.clone()));
+            *self.core_view.borrow_mut() = Some(Rc::new(view.clone()));
             self.changed.notify_waiters();
         }
     }
@@ -160,24 +160,24 @@
         if let Some(update) = reply.configuration {
             self.apply_configuration_update(&update);
         }
-        self.update_servers(reply.server_list, Duration::from_millis(reply.server_list_age_ms));
+        self.update_server_list(reply.server_list, Duration::from_millis(reply.server_list_age_ms));
         if let Some(stores) = reply.store_view {
-            self.update_stores(stores);
+            self.update_store_view(stores);
         }
         if let Some(view) = reply.core_view {
-            self.update_view(&view);
+            self.update_core_view(&view);
         }
         self.update_view_confirmation(Duration::from_millis(reply.confirmed_age_ms));
     }
 
     /// Returns the versions that a watch request reports. The generation is 0 if the complete configuration is needed.
     pub fn known_versions(&self) -> KnownVersions {
-        let servers = self.servers.borrow();
+        let servers = self.server_list.borrow();
         KnownVersions {
             generation: if self.needs_full_text.get() { 0 } else { self.generation() },
             server_list: (servers.reader_incarnation, servers.version),
-            store_view: self.stores.borrow().epoch,
-            core_view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
+            store_view: self.store_view.borrow().epoch,
+            core_view: self.core_view.borrow().as_ref().map_or(0, |view| view.epoch),
         }
     }
 
@@ -220,7 +220,7 @@
         self.generation() > known.generation
             || own.store_view > known.store_view
             || own.core_view > known.core_view
-            || (own.server_list != known.server_list && self.servers_read_at.get().is_some())
+            || (own.server_list != known.server_list && self.server_list_read_at.get().is_some())
     }
 
     fn reply_to(&self, known: &KnownVersions) -> WatchReply {
@@ -228,11 +228,12 @@
         let has_newer = self.generation() > known.generation;
         WatchReply {
             configuration: has_newer.then(|| self.texts.borrow_mut().encode_update(known.generation)),
-            server_list: (own.server_list != known.server_list).then(|| self.servers.borrow().clone()),
+            server_list: (own.server_list != known.server_list).then(|| self.server_list.borrow().clone()),
             server_list_age_ms: age_ms(self.server_list_age()),
-            store_view: (own.store_view > known.store_view).then(|| StoreView::clone(&self.stores.borrow())),
+            store_view: (own.store_view > known.store_view)
+                .then(|| StoreView::clone(&self.store_view.borrow())),
             core_view: self
-                .view
+                .core_view
                 .borrow()
                 .as_ref()
                 .filter(|_| own.core_view > known.core_view)
