--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane of the serving tier.
+//! The program of the control plane: command line and start-up.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -28,20 +28,20 @@
 }
 
 fn command(mut arguments: pico_args::Arguments) -> anyhow::Result<()> {
-    let level = arguments.opt_value_from_str("--log")?;
-    let policy = arguments.opt_value_from_str("--policy")?;
+    let log_level = arguments.opt_value_from_str("--log")?;
+    let policy_file = arguments.opt_value_from_str("--policy")?;
     let subcommand = arguments.subcommand()?.unwrap_or_else(|| "run".to_owned());
     match subcommand.as_str() {
-        "run" => run(level, policy),
+        "run" => run(log_level, policy_file),
         "check-settings" => check_settings(&arguments.free_from_str::<String>()?),
         "check-config" => check_configuration(&arguments.free_from_str::<String>()?),
-        other => anyhow::bail!("{other} is no command: see --help"),
+        other => anyhow::bail!("unknown command {other:?}: see --help"),
     }
 }
 
-fn run(level: Option<log::LevelFilter>, policy: Option<PathBuf>) -> anyhow::Result<()> {
-    let settings = Settings::from_environment_with_policy(policy)?;
-    start_logging(&settings, level)?;
+fn run(log_level: Option<log::LevelFilter>, policy_file: Option<PathBuf>) -> anyhow::Result<()> {
+    let settings = Settings::from_environment_with_policy(policy_file)?;
+    start_logging(&settings, log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, fennelgauge_control_plane::process::run(settings))
 }
--- a/crates/upstream/src/stats_exchange.rs
+++ b/crates/upstream/src/stats_exchange.rs
@@ -94,8 +94,8 @@
         sequence += 1;
         let report = StatsReport { incarnation, sequence, servers: pool.own_stats() };
         let reported = report.servers.len();
-        match caller.call(aggregator, Request::ServerLoad(report), REPLY_TIMEOUT).await {
-            Ok(Reply::ServerLoad(totals)) => {
+        match caller.call(aggregator, Request::ServerStats(report), REPLY_TIMEOUT).await {
+            Ok(Reply::ServerStats(totals)) => {
                 pool.apply_peer_totals(&totals);
                 interval = report_interval(reported + totals.servers.len());
             }
