--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -181,7 +181,9 @@
             let requested_at = Instant::now();
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.update_server_list(Some(reader.assign_version(servers)), requested_at.elapsed());
+                    plane
+                        .known
+                        .update_server_list(Some(reader.assign_version(servers)), requested_at.elapsed());
                     plane.pool.update(&plane.known.server_list());
                 }
                 Err(error) => {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! Serves an actix-web application on the current thread, so that it shares state with the rest of the process without locks, and
-//! waits for the signal that asks the process to shut down.
+//! Serves an actix-web application on the current thread, so that it shares state with the rest of the process
+//! without locks, and waits for the signal that asks the process to shut down.
 
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// Accepts connections and serves `app` on each of them in a task of its own. Returns only if the service cannot be created; must run
-/// inside a `LocalSet`.
+/// Accepts connections and serves `app` on each of them in a task of its own. Returns only if the service cannot be
+/// created; must run inside a `LocalSet`.
 pub async fn serve_http<T, B>(listener: TcpListener, app: App<T>, timeouts: HttpTimeouts)
 where
     T: ServiceFactory<
@@ -44,8 +44,6 @@
         > + 'static,
     B: MessageBody + 'static,
 {
-    let address =
-        listener.local_addr().map_or_else(|reason| reason.to_string(), |address| address.to_string());
     let app = app.into_factory().map_err(|error: Error| error.error_response());
     let service = HttpService::build()
         .keep_alive(timeouts.keep_alive)
@@ -54,7 +52,10 @@
         .finish(map_config(app, |()| AppConfig::default()))
         .tcp();
     let Ok(service) = service.new_service(()).await else {
-        log::error!("no HTTP requests are served on {address}: the service cannot be created");
+        log::error!(
+            "no HTTP requests are served on {}: the service cannot be created",
+            address_of(&listener)
+        );
         return;
     };
     let service = std::rc::Rc::new(service);
@@ -70,15 +71,23 @@
                 });
             }
             Err(reason) => {
-                log::warn!("accept failed on {address}, retrying in {ACCEPT_RETRY_DELAY:?}: {reason}");
+                log::warn!(
+                    "accept failed on {}, retrying in {ACCEPT_RETRY_DELAY:?}: {reason}",
+                    address_of(&listener)
+                );
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Waits for SIGTERM or SIGINT. SIGHUP is logged and otherwise ignored: the settings file is read again whenever it is needed, so
-/// there is nothing to reload. Never returns if the signal handlers cannot be installed.
+/// Returns the address of a listener for log lines.
+fn address_of(listener: &TcpListener) -> String {
+    listener.local_addr().map_or_else(|reason| reason.to_string(), |address| address.to_string())
+}
+
+/// Waits for SIGTERM or SIGINT. SIGHUP is logged and otherwise ignored: the settings file is read again whenever it
+/// is needed, so there is nothing to reload. Never returns if the signal handlers cannot be installed.
 pub async fn wait_for_shutdown_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)) =
--- a/crates/model/src/configuration.rs
+++ b/crates/model/src/configuration.rs
@@ -64,7 +64,8 @@
     /// Services among which requests are divided by weight if `backend` is absent.
     #[serde(default)]
     pub split: Vec<WeightedService>,
-    /// Maximum number of executions of a request that is safe to retry, or of failed executions of a batch item; 0 counts as 1.
+    /// Maximum number of executions of a request that is safe to retry, or of failed executions of a batch item; 0
+    /// counts as 1.
     #[serde(default)]
     pub retries: u32,
     /// Whether requests need no API key even if tenants are configured.
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -120,9 +120,9 @@
 
 /// Applies a patch to the document `current` and returns the new document, which is not validated yet.
 ///
-/// A patch is a JSON object with the new `generation` and the optional objects `remove` (lists of names) and `upsert` (lists of
-/// items), applied in this order. An item of `upsert` replaces the one of the same name or is appended. Everything else in the
-/// document is kept.
+/// A patch is a JSON object with the new `generation` and the optional objects `remove` (lists of names) and `upsert`
+/// (lists of items), applied in this order. An item of `upsert` replaces the one of the same name or is appended.
+/// Everything else in the document is kept.
 pub fn apply_patch(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, DocumentError> {
     let mut document: Map<String, Value> = serde_json::from_slice(current).map_err(malformed)?;
     let patch: Map<String, Value> = serde_json::from_slice(patch).map_err(malformed)?;
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -63,7 +63,8 @@
         Self { configuration, routes_by_host, tenants_by_key, requires_keys }
     }
 
-    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored; `path` is without the query.
+    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored; `path` is without
+    /// the query.
     pub fn find_route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let routes = self.routes_for_host(host)?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix)).cloned()
@@ -80,8 +81,8 @@
         self.tenants_by_key.get(key).cloned()
     }
 
-    /// Finds the route of a request and, where the route requires one, checks the API key in the value of the `Authorization`
-    /// header.
+    /// Finds the route of a request and, where the route requires one, checks the API key in the value of the
+    /// `Authorization` header.
     pub fn authorize(&self, host: &str, path: &str, authorization: Option<&str>) -> Result<Access, Denial> {
         let route = self.find_route(host, path).ok_or(Denial::NoRoute)?;
         if route.public || !self.requires_keys {
--- a/crates/model/src/servers.rs
+++ b/crates/model/src/servers.rs
@@ -44,8 +44,8 @@
 /// The complete server list as one process read it from the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerList {
-    /// Number that rises whenever the list differs from the one read before. It is comparable only between lists with the same
-    /// `reader_incarnation`.
+    /// Number that rises whenever the list differs from the one read before. It is comparable only between lists with
+    /// the same `reader_incarnation`.
     pub version: u64,
     /// Random number that the reading process drew when it started.
     pub reader_incarnation: u64,
--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -21,8 +21,8 @@
 }
 
 impl Program {
-    /// Answers `--help` and `--version`, else runs `command`. If that fails, prints the error to standard error and returns exit
-    /// code 2.
+    /// Answers `--help` and `--version`, else runs `command`. If that fails, prints the error to standard error and
+    /// returns exit code 2.
     pub fn main(&self, command: impl FnOnce(Arguments) -> anyhow::Result<()>) -> ExitCode {
         let mut arguments = Arguments::from_env();
         if arguments.contains(["-h", "--help"]) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings file of a process (TOML), deserialized by serde and validated by garde. Unknown keys are ignored, so that a file may
-//! contain keys of a later version.
+//! The settings file of a process (TOML), deserialized by serde and validated by garde. Unknown keys are ignored, so
+//! that a file may contain keys of a later version.
 
 mod command_line;
 mod logging;
@@ -32,8 +32,9 @@
     pub serves: Vec<String>,
     /// Address that the process listens on for other processes of the tier.
     pub ip: IpAddr,
-    /// Address under which other processes reach this one if it differs from `ip`, because of a relay or address translation. If set,
-    /// outgoing calls to them use `ip` as source address, and `seeds` holds the addresses under which others reach the seeds.
+    /// Address under which other processes reach this one if it differs from `ip`, because of a relay or address
+    /// translation. If set, outgoing calls to them use `ip` as source address, and `seeds` holds the addresses under
+    /// which others reach the seeds.
     #[serde(default)]
     pub peer_ip: Option<IpAddr>,
     /// Availability zone of the process.
@@ -45,13 +46,14 @@
     /// First and last port for communication between processes of the tier.
     #[garde(custom(validate_port_range))]
     pub port_range: [u16; 2],
-    /// Control-plane processes to contact first. Only the IP addresses are used; see [`Settings::seed_peer_addresses`].
+    /// Control-plane processes to contact first. Only the IP addresses are used; see
+    /// [`Settings::seed_peer_addresses`].
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Whether the process forms a new deployment together with the seeds if it has no stored state.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the process may become a voter of the core.
+    /// Whether the process may become a voter of the core, the replicated part of the control plane.
     #[serde(default)]
     pub counts_for_quorum: bool,
     /// Directory for persistent state; if absent, nothing is persisted.
@@ -134,8 +136,8 @@
     }
 }
 
-/// Bounds that the deployment has to keep; a key ending in `_ms` is in milliseconds, one ending in `_s` in seconds. This version uses
-/// `grace_s`, `usage_window_s` and `status_s`; the others are accepted and validated only.
+/// Bounds that the deployment has to keep; a key ending in `_ms` is in milliseconds, one ending in `_s` in seconds.
+/// This version uses `grace_s`, `usage_window_s` and `status_s`; the others are accepted and validated only.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
 #[garde(allow_unvalidated)]
@@ -190,7 +192,8 @@
 pub struct Cloud {
     /// Address of the platform; if absent, the process makes no calls to it.
     pub addr: Option<SocketAddr>,
-    /// Maximum rate of server list calls of all processes together, in calls per second; accepted, but not used by this version.
+    /// Maximum rate of server list calls of all processes together, in calls per second; accepted, but not used by
+    /// this version.
     #[garde(range(min = 0.0))]
     pub per_s: f64,
     /// Kinds of calls that the platform expects from the core: `usage_report` and `autoscale`.
@@ -269,7 +272,8 @@
         SocketAddr::new(self.peer_ip.unwrap_or(self.ip), self.port_range[0])
     }
 
-    /// Returns the source address for outgoing calls to other processes of the tier; `None` if the system may choose it.
+    /// Returns the source address for outgoing calls to other processes of the tier; `None` if the system may choose
+    /// it.
     pub fn peer_source_ip(&self) -> Option<IpAddr> {
         self.peer_ip.map(|_| self.ip)
     }
@@ -279,8 +283,8 @@
         SocketAddr::new(self.ip, self.port_range[0] + 1)
     }
 
-    /// Returns the addresses under which other processes of the tier reach the seeds: the IP addresses of `seeds` with the first port
-    /// of `port_range`.
+    /// Returns the addresses under which other processes of the tier reach the seeds: the IP addresses of `seeds`
+    /// with the first port of `port_range`.
     pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.port_range[0])).collect()
     }
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -2,8 +2,9 @@
 
 use crate::Settings;
 
-/// Starts logging. The level for this project's own processes is `level` (from the command line) if given, else `log_level` of the
-/// settings, else `warn`; all other crates log warnings and errors only. Errs if logging was started before.
+/// Starts logging. The level for this project's own processes is `level` (from the command line) if given, else
+/// `log_level` of the settings, else `warn`; all other crates log warnings and errors only. Errs if logging was
+/// started before.
 pub fn start_logging(settings: &Settings, level: Option<log::LevelFilter>) -> anyhow::Result<()> {
     let level_from_settings = settings.log_level.as_deref().and_then(|level| level.parse().ok());
     let level = level.or(level_from_settings).unwrap_or(log::LevelFilter::Warn);
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,5 +1,5 @@
-//! Switches for the mechanisms that decide about requests and batch items. Each mechanism can be turned off so that its effect can
-//! be measured; the defaults are the recommended operation.
+//! Switches for the mechanisms that decide about requests and batch items. Each mechanism can be turned off so that
+//! its effect can be measured; the defaults are the recommended operation.
 
 use std::path::{Path, PathBuf};
 
@@ -17,7 +17,8 @@
     pub kinds_apart: bool,
     /// Sends requests that share a large part of their prompt to the same server, which has that part in its cache.
     pub cached_prompts: bool,
-    /// Prefers servers in the process's own zone. Off by default: a zone with more traffic than others would bear it alone.
+    /// Prefers servers in the process's own zone. Off by default: a zone with more traffic than others would bear it
+    /// alone.
     pub own_zone_first: bool,
     /// Sends no requests to a server for a while after it failed.
     pub rest_after_failure: bool,
@@ -31,17 +32,18 @@
     pub random_ties: bool,
     /// Exchanges server statistics (requests in flight, failures) with other processes through an aggregator.
     pub shared_uses: bool,
-    /// Takes the less loaded of two servers drawn at random where the load is known from other processes and not from the servers.
+    /// Takes the less loaded of two servers drawn at random where the load is known from other processes and not from
+    /// the servers.
     pub two_choices: bool,
     /// Tests the connection to a server at which a request waits unusually long before sending it more requests.
     pub suspect_silent: bool,
     /// Starts batch items at the rate that their due times require. If off, they start as soon as there is capacity.
     pub paced_items: bool,
-    /// Adapts the number of running batch items to the response times of the servers. If off, it is a store's fixed share of all
-    /// slots.
+    /// Adapts the number of running batch items to the response times of the servers. If off, it is a store's fixed
+    /// share of all slots.
     pub adaptive_items: bool,
-    /// Longest acceptable wait of a batch item at a server, as a fraction of the shortest response time objective among the
-    /// interactive routes of its service.
+    /// Longest acceptable wait of a batch item at a server, as a fraction of the shortest response time objective
+    /// among the interactive routes of its service.
     #[garde(range(min = 0.01, max = 10.0))]
     pub items_wait_part: f64,
     /// Runs batch items that can no longer be in time after those that can.
--- a/crates/sharing/src/aggregator.rs
+++ b/crates/sharing/src/aggregator.rs
@@ -39,8 +39,8 @@
 }
 
 impl StatsAggregator {
-    /// Stores a report and returns the totals over all other reporters. A report that is not newer than the stored one of the same
-    /// process is ignored. `now` is the time on any monotonic clock, always the same one.
+    /// Stores a report and returns the totals over all other reporters. A report that is not newer than the stored
+    /// one of the same process is ignored. `now` is the time on any monotonic clock, always the same one.
     pub fn add_report(&mut self, report: StatsReport, now: Duration) -> Result<StatsTotals, ReportError> {
         if report.servers.len() > MAX_SERVERS_PER_REPORT {
             return Err(ReportError::TooManyServers(report.servers.len()));
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Exchange of server statistics between processes that send requests to the same servers.
 //!
-//! Each process reports its own statistics to an aggregator, which replies with the totals over all its other reporters. A report
-//! is complete and not a change to an earlier one, so a lost or repeated report does no harm. This crate does no I/O and reads no
-//! clock: callers pass times in.
+//! Each process reports its own statistics to an aggregator, which replies with the totals over all its other
+//! reporters. A report is complete and not a change to an earlier one, so a lost or repeated report does no harm.
+//! This crate does no I/O and reads no clock: callers pass times in.
 
 mod aggregator;
 mod outcomes;
--- a/crates/sharing/src/outcomes.rs
+++ b/crates/sharing/src/outcomes.rs
@@ -4,7 +4,8 @@
 
 /// Time after which an outcome counts 1/e.
 const DECAY_TIME: Duration = Duration::from_secs(2);
-/// Successes that are assumed in addition to the counted ones, so that a single failure does not yield a failure ratio of 1.
+/// Successes that are assumed in addition to the counted ones, so that a single failure does not yield a failure
+/// ratio of 1.
 const ASSUMED_SUCCESSES: f64 = 1.0;
 /// Failure ratios below this are reported as 0.
 const MIN_FAILURE_RATIO: f64 = 0.05;
@@ -22,8 +23,8 @@
         Self { successes: f64::from(successes) / 10.0, failures: f64::from(failures) / 10.0 }
     }
 
-    /// Returns the counts of successes and failures in tenths, rounded down: counts that have decayed to almost nothing become 0
-    /// and need not be reported.
+    /// Returns the counts of successes and failures in tenths, rounded down: counts that have decayed to almost
+    /// nothing become 0 and need not be reported.
     pub fn tenths(&self) -> (u32, u32) {
         ((self.successes * 10.0) as u32, (self.failures * 10.0) as u32)
     }
@@ -50,8 +51,9 @@
         Self { successes: self.successes + other.successes, failures: self.failures + other.failures }
     }
 
-    /// Returns the fraction of failures among the outcomes, between 0 and 1. Few outcomes yield a low ratio, and a ratio below 0.05 is
-    /// returned as 0: otherwise the last trace of an old failure would rank a server behind others that are equal to it.
+    /// Returns the fraction of failures among the outcomes, between 0 and 1. Few outcomes yield a low ratio, and a
+    /// ratio below 0.05 is returned as 0: otherwise the last trace of an old failure would rank a server behind
+    /// others that are equal to it.
     pub fn failure_ratio(&self) -> f64 {
         let ratio = self.failures / (self.successes + self.failures + ASSUMED_SUCCESSES);
         match ratio < MIN_FAILURE_RATIO {
--- a/crates/sharing/tests/aggregator.rs
+++ b/crates/sharing/tests/aggregator.rs
@@ -108,8 +108,9 @@
     }
 }
 
-/// Twenty processes report every 100 ms; reports are in turn lost, delayed by up to three rounds or sent twice. The totals that a
-/// process receives never exceed what the others can have had in flight at some time within the TTL of one second.
+/// Twenty processes report every 100 ms; reports are in turn lost, delayed by up to three rounds or sent twice. The
+/// totals that a process receives never exceed what the others can have had in flight at some time within the TTL of
+/// one second.
 #[test]
 fn totals_stay_within_values_reported_during_the_ttl() {
     const PROCESSES: u64 = 20;
--- a/crates/upstream/src/clock.rs
+++ b/crates/upstream/src/clock.rs
@@ -1,5 +1,5 @@
-//! The time of day without steps of the machine's clock. It is approximate and differs between machines, so correctness must not
-//! depend on it.
+//! The time of day without steps of the machine's clock. It is approximate and differs between machines, so
+//! correctness must not depend on it.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -13,8 +13,8 @@
     static CLOCK: RefCell<Option<(Instant, WallClock)>> = const { RefCell::new(None) };
 }
 
-/// Returns the time since the Unix epoch. After a step of the system clock, time continues by the monotonic clock until the step has
-/// lasted for two minutes.
+/// Returns the time since the Unix epoch. After a step of the system clock, time continues by the monotonic clock
+/// until the step has lasted for two minutes.
 pub fn wall_clock() -> Duration {
     let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     CLOCK.with_borrow_mut(|clock| {
--- a/crates/upstream/src/configuration_texts.rs
+++ b/crates/upstream/src/configuration_texts.rs
@@ -1,5 +1,5 @@
-//! The texts of the configurations that a process has, and their encoding for watchers: as a delta if the watcher has a text that is
-//! still kept, else in full. Each encoding is cached and sent to all watchers with the same text.
+//! The texts of the configurations that a process has, and their encoding for watchers: as a delta if the watcher has
+//! a text that is still kept, else in full. Each encoding is cached and sent to all watchers with the same text.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections to servers and HTTP/1.1 exchanges on them.
 //!
-//! The `awc` client mistakes a connection that is lost midway for the end of the body. Exchanges are therefore implemented here on top
-//! of the codec of `actix-http`: a response is complete only if its framing says so.
+//! The `awc` client mistakes a connection that is lost midway for the end of the body. Exchanges are therefore
+//! implemented here on top of the codec of `actix-http`: a response is complete only if its framing says so.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,7 +25,8 @@
 
 /// Time for which an idle connection is reused if the server does not announce its own limit.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Idle connections are dropped this long before the server's limit, so that a request does not meet a connection being closed.
+/// Idle connections are dropped this long before the server's limit, so that a request does not meet a connection
+/// being closed.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 /// Initial capacity of the read buffer.
 const READ_BUFFER_BYTES: usize = 8 << 10;
@@ -51,7 +52,8 @@
     expires_at: Instant,
 }
 
-/// The response of a server: its head, and its body as a stream. Dropping it before the end of the body closes the connection.
+/// The response of a server: its head, and its body as a stream. Dropping it before the end of the body closes the
+/// connection.
 pub struct UpstreamResponse {
     head: ResponseHead,
     body: Body,
@@ -198,7 +200,8 @@
     matches!(stream.try_read(&mut byte), Err(reason) if reason.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Returns whether a response has a body that ends with its connection: it may have a body, but no header says where that ends.
+/// Returns whether a response has a body that ends with its connection: it may have a body, but no header says where
+/// that ends.
 fn ends_with_connection(method: &Method, head: &ResponseHead) -> bool {
     let headers = head.headers();
     let is_delimited = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
@@ -271,7 +274,8 @@
         Some(Err(TruncatedBody))
     }
 
-    /// Ends a complete body and returns the connection to the pool if it is reusable and no surplus data was received.
+    /// Ends a complete body and returns the connection to the pool if it is reusable and no surplus data was
+    /// received.
     fn finish(&mut self) {
         let Some(stream) = self.stream.take() else { return };
         if self.keep_alive && self.buffer.is_empty() && matches!(self.framing, Framing::Delimited(_)) {
--- a/crates/upstream/src/connection_probe.rs
+++ b/crates/upstream/src/connection_probe.rs
@@ -9,7 +9,8 @@
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Repeatedly opens connections to the servers that could not be connected to or are suspected of being unresponsive. Never returns.
+/// Repeatedly opens connections to the servers that could not be connected to or are suspected of being unresponsive.
+/// Never returns.
 pub async fn probe_connections(pool: ServerPool, sender: RequestSender) {
     loop {
         sleep(PROBE_INTERVAL).await;
--- a/crates/upstream/src/duration_estimator.rs
+++ b/crates/upstream/src/duration_estimator.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Returns the duration above which an operation takes unusually long: four mean deviations above the mean. `None` before the
-    /// first recorded duration.
+    /// Returns the duration above which an operation takes unusually long: four mean deviations above the mean.
+    /// `None` before the first recorded duration.
     pub fn upper_bound(&self) -> Option<Duration> {
         self.mean_plus_deviations(UPPER_BOUND_DEVIATIONS)
     }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -59,8 +59,8 @@
         self.last
     }
 
-    /// Accepts an event and returns true if its id follows that of the last accepted one; the first id may be any. After a rejected
-    /// event the caller must discard the rest of that server's stream.
+    /// Accepts an event and returns true if its id follows that of the last accepted one; the first id may be any.
+    /// After a rejected event the caller must discard the rest of that server's stream.
     pub fn accept(&mut self, event: &Event) -> bool {
         let Some(id) = event.id else { return false };
         let is_next = self.last.is_none_or(|last| id == last + 1);
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,5 +1,6 @@
-//! What data planes and stores need in order to use the servers of the tier: a local copy of the tier's state that follows the
-//! control plane, the pool of servers and the choice among them, sending requests, and parsing event streams.
+//! What data planes and stores need in order to use the servers of the tier: a local copy of the tier's state that
+//! follows the control plane, the pool of servers and the choice among them, sending requests, and parsing event
+//! streams.
 
 mod clock;
 mod configuration_texts;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -96,9 +96,9 @@
         servers.get(id).is_some_and(TrackedServer::is_ready)
     }
 
-    /// Chooses a server of `service` for a request, none of those whose ids are in `tried`. If no server is usable because of failures
-    /// or cooldowns, any ready one is considered. Requests with the same affinity go to the same server as long as that is not much
-    /// more loaded than others. Returns `None` if no server is left.
+    /// Chooses a server of `service` for a request, none of those whose ids are in `tried`. If no server is usable
+    /// because of failures or cooldowns, any ready one is considered. Requests with the same affinity go to the same
+    /// server as long as that is not much more loaded than others. Returns `None` if no server is left.
     pub fn choose(&self, service: &str, tried: &[String], profile: &RequestProfile) -> Option<InFlightGuard> {
         let now = Instant::now();
         let long_prompt_fraction = self.long_prompt_fraction(service, profile, now);
@@ -147,7 +147,8 @@
         mix.long_prompt_fraction()
     }
 
-    /// Returns the mean load of the usable servers of a service, where 1 means that all slots are taken; `None` without such servers.
+    /// Returns the mean load of the usable servers of a service, where 1 means that all slots are taken; `None`
+    /// without such servers.
     pub fn mean_load(&self, service: &str) -> Option<f64> {
         let now = Instant::now();
         let servers = self.servers.borrow();
@@ -232,7 +233,8 @@
     Some((parts.next()??, parts.next()??))
 }
 
-/// Ranks the ready servers of each service and zone by the hashes of their ids, so that all processes agree on the ranking.
+/// Ranks the ready servers of each service and zone by the hashes of their ids, so that all processes agree on the
+/// ranking.
 fn assign_ranks(servers: &mut HashMap<String, TrackedServer>) {
     let mut groups: HashMap<(String, String), Vec<(u64, String)>> = HashMap::new();
     for server in servers.values().filter(|server| server.is_ready()) {
--- a/crates/upstream/src/prompt_mix.rs
+++ b/crates/upstream/src/prompt_mix.rs
@@ -1,5 +1,5 @@
-//! Determines what fraction of a service's servers is reserved for long prompts. Processing a long prompt delays the streams of short
-//! interactive requests at the same server.
+//! Determines what fraction of a service's servers is reserved for long prompts. Processing a long prompt delays the
+//! streams of short interactive requests at the same server.
 
 use std::time::Duration;
 
@@ -13,10 +13,11 @@
 const SERVERS_PER_TOKEN_FRACTION: f64 = 0.8;
 /// Below this fraction of the tokens, no servers are reserved for long prompts.
 const MIN_TOKEN_FRACTION: f64 = 0.1;
-/// Largest fraction of the servers that is reserved for long prompts. The rest is for short requests even if hardly any were counted.
+/// Largest fraction of the servers that is reserved for long prompts. The rest is for short requests even if hardly
+/// any were counted.
 const MAX_SERVER_FRACTION: f64 = 0.6;
-/// Servers are reserved only if long prompts are on average this many times as long as short ones. Where prompts are of all lengths,
-/// the loss of capacity from dividing the servers is greater than the gain.
+/// Servers are reserved only if long prompts are on average this many times as long as short ones. Where prompts are
+/// of all lengths, the loss of capacity from dividing the servers is greater than the gain.
 const MIN_LENGTH_RATIO: f64 = 5.0;
 /// Number of short requests from which on their mean length is considered known.
 const MIN_SHORT_REQUESTS: f64 = 5.0;
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Returns the fraction of the servers, from the start of their ranking, that is reserved for long prompts; `None` if none is.
+    /// Returns the fraction of the servers, from the start of their ranking, that is reserved for long prompts;
+    /// `None` if none is.
     pub(crate) fn long_prompt_fraction(&self) -> Option<f64> {
         let token_fraction = self.long.tokens / (self.long.tokens + self.short.tokens).max(1.0);
         let similar_lengths = self.short.requests >= MIN_SHORT_REQUESTS
--- a/crates/upstream/src/request_profile.rs
+++ b/crates/upstream/src/request_profile.rs
@@ -23,7 +23,8 @@
 /// Properties of a request that decide which server suits it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestProfile {
-    /// Hash of the prompt prefix that the request shares with others; `None` if the prefix is too short to be worth caching.
+    /// Hash of the prompt prefix that the request shares with others; `None` if the prefix is too short to be worth
+    /// caching.
     pub affinity: Option<u64>,
     /// Number of tokens in the prompt, which a server has to process unless it caches parts of it.
     pub prompt_tokens: u64,
@@ -32,9 +33,9 @@
 }
 
 impl RequestProfile {
-    /// Creates the profile of an interactive request from the value of its prefix header: the parts of the prompt in order, each as
-    /// `ID:TOKENS`, separated by commas. The last part is the request's own; the ones before it are shared with other requests.
-    /// Malformed parts are skipped.
+    /// Creates the profile of an interactive request from the value of its prefix header: the parts of the prompt in
+    /// order, each as `ID:TOKENS`, separated by commas. The last part is the request's own; the ones before it are
+    /// shared with other requests. Malformed parts are skipped.
     pub fn from_prefix_header(value: Option<&str>) -> Self {
         let Some(value) = value else { return Self::default() };
         let parts: Vec<(&str, u64)> = value.split(',').filter_map(parse_part).collect();
--- a/crates/upstream/src/selection.rs
+++ b/crates/upstream/src/selection.rs
@@ -9,7 +9,8 @@
 
 // The limits below are loads: requests as a fraction of a server's slots.
 
-/// The server that caches a request's prompt prefix is used while its score exceeds the lowest one by no more than this.
+/// The server that caches a request's prompt prefix is used while its score exceeds the lowest one by no more than
+/// this.
 const PREFIX_AFFINITY_MARGIN: f64 = 0.35;
 /// Servers for the other kind of request are used if those for the request's own kind are fuller by more than this.
 const KIND_MARGIN: f64 = 0.35;
@@ -18,7 +19,8 @@
 /// From this load on, the server that caches a request's prompt prefix is not preferred any more.
 const CROWDED_LOAD: f64 = 0.85;
 
-/// Number of servers drawn at random, of which the less loaded is taken, where loads are known from other processes only.
+/// Number of servers drawn at random, of which the less loaded is taken, where loads are known from other processes
+/// only.
 const RANDOM_CHOICES: usize = 2;
 
 /// What the selection depends on besides the servers.
@@ -36,9 +38,10 @@
 }
 
 impl SelectionCriteria<'_> {
-    /// Selects a server. Candidates are narrowed to those reserved for the request's kind, then to those in the own zone, unless
-    /// these are much fuller than the others. Of the rest, the one that caches the request's prompt prefix is taken unless it is
-    /// much fuller or crowded, else the least loaded one. Returns `None` if there are no candidates.
+    /// Selects a server. Candidates are narrowed to those reserved for the request's kind, then to those in the own
+    /// zone, unless these are much fuller than the others. Of the rest, the one that caches the request's prompt
+    /// prefix is taken unless it is much fuller or crowded, else the least loaded one. Returns `None` if there are no
+    /// candidates.
     pub fn select<'s>(&self, candidates: &[&'s TrackedServer]) -> Option<&'s TrackedServer> {
         let candidates = self.narrow(candidates, |server| self.is_for_kind(server), KIND_MARGIN);
         let candidates = self.narrow(&candidates, |server| self.is_preferred_zone(server), ZONE_MARGIN);
@@ -94,16 +97,16 @@
         candidates.into_iter().min_by(|left, right| score(left).total_cmp(&score(right)))
     }
 
-    /// Returns whether loads are known from other processes but not from the servers. Such loads are slightly out of date, and all
-    /// processes that took the least loaded server would send their requests to the same one. Batch items are exempt: they come
-    /// from few stores, which know best themselves what they have sent.
+    /// Returns whether loads are known from other processes but not from the servers. Such loads are slightly out of
+    /// date, and all processes that took the least loaded server would send their requests to the same one. Batch
+    /// items are exempt: they come from few stores, which know best themselves what they have sent.
     fn is_load_from_peers_only(&self, candidates: &[&TrackedServer]) -> bool {
         candidates.iter().any(|server| server.has_peer_stats(self.now))
             && !candidates.iter().any(|server| server.has_reported_load(self.now))
     }
 
-    /// Returns the candidates that satisfy `preference`, or all candidates if the lowest score among those exceeds the lowest of
-    /// all by more than `margin`.
+    /// Returns the candidates that satisfy `preference`, or all candidates if the lowest score among those exceeds
+    /// the lowest of all by more than `margin`.
     fn narrow<'s>(
         &self,
         candidates: &[&'s TrackedServer],
--- a/crates/upstream/src/send.rs
+++ b/crates/upstream/src/send.rs
@@ -87,8 +87,8 @@
         self.connections.open_idle(server.addr).await
     }
 
-    /// Sends a request to `server` and waits for the head of its response for at most `head_timeout`. `deadline` is the remaining time
-    /// for the request, which the server is informed of.
+    /// Sends a request to `server` and waits for the head of its response for at most `head_timeout`. `deadline` is
+    /// the remaining time for the request, which the server is informed of.
     pub async fn send(
         &self,
         server: &Server,
@@ -129,8 +129,8 @@
     Some(head)
 }
 
-/// Rejects a response that belongs to another request, or that says that the request was not executed. A response without a request id
-/// is accepted only if its status is not a success.
+/// Rejects a response that belongs to another request, or that says that the request was not executed. A response
+/// without a request id is accepted only if its status is not a success.
 async fn validate_response(response: UpstreamResponse, id: &str) -> Result<UpstreamResponse, SendError> {
     let status = response.status();
     let id_matches = response.headers().get(REQUEST_ID).map(|value| value.as_bytes() == id.as_bytes());
@@ -146,7 +146,8 @@
     Ok(response)
 }
 
-/// Returns whether the status indicates a failing server. A 504 does not: it means that the request had too little time.
+/// Returns whether the status indicates a failing server. A 504 does not: it means that the request had too little
+/// time.
 fn is_server_failure(status: StatusCode) -> bool {
     [StatusCode::INTERNAL_SERVER_ERROR, StatusCode::BAD_GATEWAY].contains(&status)
 }
--- a/crates/upstream/src/stats_exchange.rs
+++ b/crates/upstream/src/stats_exchange.rs
@@ -25,7 +25,8 @@
 const MIN_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(100);
 /// Upper bound of that time, which also applies before any response.
 const MAX_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
-/// A process that cannot connect to more than this fraction of the servers is probably cut off itself and reports no suspicions.
+/// A process that cannot connect to more than this fraction of the servers is probably cut off itself and reports no
+/// suspicions.
 const MAX_UNREACHABLE_FRACTION: f64 = 0.5;
 
 impl ServerPool {
@@ -69,9 +70,9 @@
     }
 }
 
-/// Sends reports and applies the replies; moves on to the next source if one does not reply. Never returns, unless the policy turns the
-/// exchange off. Requests do not depend on it: without replies, servers are chosen by this process's own statistics. `incarnation` is a
-/// random number drawn when the process starts.
+/// Sends reports and applies the replies; moves on to the next source if one does not reply. Never returns, unless
+/// the policy turns the exchange off. Requests do not depend on it: without replies, servers are chosen by this
+/// process's own statistics. `incarnation` is a random number drawn when the process starts.
 pub async fn exchange_server_stats(
     pool: ServerPool,
     state: Rc<TierState>,
--- a/crates/upstream/src/subscriber.rs
+++ b/crates/upstream/src/subscriber.rs
@@ -1,5 +1,5 @@
-//! Keeps the tier state up to date by long polling one source at a time. A source that does not reply, or whose view is not confirmed
-//! by a majority, is exchanged for the next one.
+//! Keeps the tier state up to date by long polling one source at a time. A source that does not reply, or whose view
+//! is not confirmed by a majority, is exchanged for the next one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,8 +31,9 @@
 }
 
 impl Subscription {
-    /// Creates a subscription from the settings. The seeds are read again from the settings file when they are needed, because the file
-    /// may change while the process runs; if it cannot be read, the seeds in `settings` are used.
+    /// Creates a subscription from the settings. The seeds are read again from the settings file when they are
+    /// needed, because the file may change while the process runs; if it cannot be read, the seeds in `settings` are
+    /// used.
     pub fn new(settings: &Settings) -> Self {
         let fallback = settings.seed_peer_addresses();
         Self {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Returns the source at position `index` in this process's order of preference, which starts over after the last one: the members of
-/// the core, then the seeds. `None` if there are no sources.
+/// Returns the source at position `index` in this process's order of preference, which starts over after the last
+/// one: the members of the core, then the seeds. `None` if there are no sources.
 pub(crate) fn source_at(index: usize, state: &TierState, subscription: &Subscription) -> Option<SocketAddr> {
     let mut sources = core_sources(state, subscription);
     if let Some(source) = sources.get(index) {
@@ -98,8 +99,8 @@
     sources.get(index.checked_rem(sources.len())?).copied()
 }
 
-/// Returns the members of the core in order of preference: the chain, with members in the own zone first and otherwise in an order that
-/// depends on the node, so that watchers spread over them; then the other voters.
+/// Returns the members of the core in order of preference: the chain, with members in the own zone first and
+/// otherwise in an order that depends on the node, so that watchers spread over them; then the other voters.
 fn core_sources(state: &TierState, subscription: &Subscription) -> Vec<SocketAddr> {
     let Some(view) = state.core_view() else { return Vec::new() };
     let mut chain: Vec<_> = view.chain.iter().collect();
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -129,7 +129,8 @@
     let chosen_id = || pool.choose("s", &[], &RequestProfile::default()).expect("a server").server.id.clone();
     assert!((0..3).all(|_| chosen_id() != processing.server.id));
     pool.record_success(&processing, None);
-    // That request is still in flight: of the next three, the second may go to either server, as both have the same load.
+    // That request is still in flight: of the next three, the second may go to either server, as both have the same
+    // load.
     let guards: Vec<_> =
         (0..3).map(|_| pool.choose("s", &[], &RequestProfile::default()).expect("a server")).collect();
     assert!(guards.iter().any(|guard| guard.server.id == processing.server.id), "its prompt is processed");
--- a/crates/upstream/src/tier_state.rs
+++ b/crates/upstream/src/tier_state.rs
@@ -1,4 +1,5 @@
-//! A process's copy of the tier's state. Versions never go back, and a process can pass its copy on to processes that watch it.
+//! A process's copy of the tier's state. Versions never go back, and a process can pass its copy on to processes that
+//! watch it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,8 +20,8 @@
 /// Age that is sent for something that is not known at all, in milliseconds.
 const UNKNOWN_AGE_MS: u64 = 3_600_000;
 
-/// The configuration, the server list, the stores and the core's view as far as this process knows them. Shared by all tasks of the
-/// process.
+/// The configuration, the server list, the stores and the core's view as far as this process knows them. Shared by
+/// all tasks of the process.
 #[derive(Default)]
 pub struct TierState {
     routing_table: RefCell<Option<Rc<RoutingTable>>>,
@@ -36,8 +37,8 @@
 }
 
 impl TierState {
-    /// Creates the state of a process that others watch: it keeps earlier configurations, so that it can send changes instead of
-    /// complete texts.
+    /// Creates the state of a process that others watch: it keeps earlier configurations, so that it can send changes
+    /// instead of complete texts.
     pub fn for_source() -> Self {
         Self { texts: RefCell::new(ConfigurationTexts::with_earlier()), ..Self::default() }
     }
@@ -82,7 +83,8 @@
         self.changed.notified().await;
     }
 
-    /// Replaces the configuration if `generation` is higher and the document can be parsed; returns whether it was replaced.
+    /// Replaces the configuration if `generation` is higher and the document can be parsed; returns whether it was
+    /// replaced.
     pub fn update_configuration(&self, generation: u64, json: Vec<u8>) -> bool {
         if generation <= self.generation() {
             return false;
@@ -101,7 +103,8 @@
         true
     }
 
-    /// Applies a configuration update from a source. If it cannot be decoded, the next watch request asks for the complete text.
+    /// Applies a configuration update from a source. If it cannot be decoded, the next watch request asks for the
+    /// complete text.
     fn apply_configuration_update(&self, update: &ConfigurationUpdate) {
         let json = self.texts.borrow().decode_update(update);
         match json {
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Records that the server list was read from the platform `age` ago, and replaces it if `list` is given. Ignored if a later reading
-    /// is known.
+    /// Records that the server list was read from the platform `age` ago, and replaces it if `list` is given. Ignored
+    /// if a later reading is known.
     pub fn update_server_list(&self, list: Option<ServerList>, age: Duration) {
         let Some(read_at) = Instant::now().checked_sub(age) else { return };
         if self.server_list_read_at.get().is_some_and(|known| known >= read_at) {
@@ -170,7 +173,8 @@
         self.update_view_confirmation(Duration::from_millis(reply.confirmed_age_ms));
     }
 
-    /// Returns the versions that a watch request reports. The generation is 0 if the complete configuration is needed.
+    /// Returns the versions that a watch request reports. The generation is 0 if the complete configuration is
+    /// needed.
     pub fn known_versions(&self) -> KnownVersions {
         let servers = self.server_list.borrow();
         KnownVersions {
@@ -181,7 +185,8 @@
         }
     }
 
-    /// Answers a watch request as soon as something is newer than what the watcher knows, or when its wait time is over.
+    /// Answers a watch request as soon as something is newer than what the watcher knows, or when its wait time is
+    /// over.
     pub async fn wait_for_update(&self, watch: &WatchRequest) -> WatchReply {
         let deadline = Instant::now() + Duration::from_millis(watch.wait_ms.min(MAX_WATCH_WAIT_MS));
         loop {
@@ -200,9 +205,9 @@
         self.view_confirmation_age().is_some_and(|age| age <= CONFIRMATION_TTL)
     }
 
-    /// Like [`TierState::wait_for_update`], for a member of the core. Without a current confirmation of its view it answers at once, so
-    /// that the watcher can try another source, and sends neither configuration nor stores: there may be newer ones, which a watcher
-    /// that has just started could not know.
+    /// Like [`TierState::wait_for_update`], for a member of the core. Without a current confirmation of its view it
+    /// answers at once, so that the watcher can try another source, and sends neither configuration nor stores: there
+    /// may be newer ones, which a watcher that has just started could not know.
     pub async fn wait_for_confirmed_update(&self, watch: &WatchRequest) -> WatchReply {
         let mut reply = match self.is_view_confirmed() {
             true => self.wait_for_update(watch).await,
--- a/crates/upstream/src/tracked_server.rs
+++ b/crates/upstream/src/tracked_server.rs
@@ -13,8 +13,8 @@
 const FIRST_COOLDOWN: Duration = Duration::from_millis(500);
 /// Upper bound of the cooldown.
 const MAX_COOLDOWN: Duration = Duration::from_secs(8);
-/// Upper bound of the time until the next connection attempt to an unreachable server. Such an attempt puts no request at risk, so it
-/// can be made sooner.
+/// Upper bound of the time until the next connection attempt to an unreachable server. Such an attempt puts no
+/// request at risk, so it can be made sooner.
 const MAX_UNREACHABLE_COOLDOWN: Duration = Duration::from_secs(1);
 /// Cooldown of a server that rejected a request because it is full.
 const OVERLOAD_COOLDOWN: Duration = Duration::from_millis(100);
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Returns the estimated number of running and waiting requests as a fraction of the slots, plus the weight of prompts that are
-    /// still to be processed.
+    /// Returns the estimated number of running and waiting requests as a fraction of the slots, plus the weight of
+    /// prompts that are still to be processed.
     pub fn load(&self, now: Instant) -> f64 {
         let in_flight = self.in_flight + self.fresh_peer_stats(now).map_or(0, |stats| stats.in_flight);
         let in_flight = f64::from(in_flight);
@@ -189,8 +189,8 @@
         self.unanswered.iter().any(|(_, sent_at)| now - *sent_at > limit)
     }
 
-    /// Marks the server as suspected if a request of this process has been waiting for longer than `limit` or another process suspects
-    /// the server, unless a connection test succeeded a moment ago.
+    /// Marks the server as suspected if a request of this process has been waiting for longer than `limit` or another
+    /// process suspects the server, unless a connection test succeeded a moment ago.
     pub fn suspect(&mut self, limit: Duration, now: Instant) {
         let suspected_by_peers = self.fresh_peer_stats(now).is_some_and(|stats| stats.suspected_by > 0);
         let recently_tested = self.tested_at.is_some_and(|tested_at| now - tested_at < TEST_VALID_FOR);
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -20,8 +20,8 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Starts a server that responds to each request with `bytes` and, with `closes`, closes the connection after the first response. Returns
-/// it with a counter of its connections.
+/// Starts a server that responds to each request with `bytes` and, with `closes`, closes the connection after the
+/// first response. Returns it with a counter of its connections.
 async fn responding_server(bytes: &'static [u8], closes: bool) -> (Server, Rc<std::cell::Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
