--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -26,7 +26,7 @@
     pub one_at_a_time: bool,
     /// Uses the load that servers report in the headers of their responses.
     pub told_load: bool,
-    /// Sends a request that is safe to retry to another server if its server is silent for too long.
+    /// Sends a request that is safe to retry to another server if its server does not respond for too long.
     pub leave_silent_servers: bool,
     /// Chooses at random among servers with the same load.
     pub random_ties: bool,
