--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -248,7 +248,7 @@
 fn service_load(core: &Core, collector: &UsageCollector, service: &Service) -> ServiceLoad {
     let (responses, late_responses) = collector.take_timeliness(&service.name);
     let mut ready_servers: BTreeMap<String, u32> = BTreeMap::new();
-    for server in &core.known.servers().servers {
+    for server in &core.known.server_list().servers {
         if server.backend == service.name {
             let count = ready_servers.entry(server.zone.clone()).or_default();
             *count += u32::from(server.state == ServerState::Ready);
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -31,7 +31,7 @@
             if self.disk_health.is_unhealthy() {
                 continue;
             }
-            let Some(view) = self.known.view() else { continue };
+            let Some(view) = self.known.core_view() else { continue };
             let Some(head) = view.head() else { continue };
             let heard = StoreReport {
                 member: self.me.clone(),
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -99,12 +99,12 @@
             if self.running.borrow().is_empty() {
                 let _ = timeout(POLL_INTERVAL, self.changed.notified()).await;
             }
-            self.pool.update(&self.known.servers());
+            self.pool.update(&self.known.server_list());
             let view = self.view();
             self.stop_items_of_lost_groups(&view);
             if last_housekeeping.elapsed() >= POLL_INTERVAL {
                 last_housekeeping = Instant::now();
-                self.sender.retain_servers(&self.known.servers().servers);
+                self.sender.retain_servers(&self.known.server_list().servers);
                 self.remove_expired_jobs(&view);
             }
             let mut candidates = self.candidates(&view);
@@ -140,7 +140,7 @@
 
     /// Returns the capacity that this store's items share with interactive requests and other stores.
     fn service_capacity(&self, service: &str) -> ServiceCapacity {
-        let servers = self.known.servers();
+        let servers = self.known.server_list();
         let service_servers = servers.servers.iter().filter(|server| server.backend == service);
         ServiceCapacity {
             slots: service_servers.map(|server| server.slots as usize).sum(),
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -142,7 +142,7 @@
 ) -> StoreOutcome {
     let mut may_have_executed = false;
     loop {
-        let view = plane.known.stores();
+        let view = plane.known.store_view();
         if let Some(store) = store(&view, group) {
             let time_left = deadline.saturating_duration_since(Instant::now()).min(call_timeout);
             let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), time_left);
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -100,7 +100,7 @@
     /// Only a source whose view a majority confirmed a moment ago sends a configuration, so it was in force when it arrived.
     pub fn is_ready(&self) -> bool {
         if !self.was_ready.get() {
-            let has_servers = !self.known.servers().servers.is_empty();
+            let has_servers = !self.known.server_list().servers.is_empty();
             self.was_ready.set(self.known.routing_table().is_some() && has_servers);
         }
         self.was_ready.get() && !self.is_stopping()
@@ -171,8 +171,8 @@
     let client = platform_client();
     let mut reader = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
     loop {
-        plane.pool.update(&plane.known.servers());
-        plane.sender.retain_servers(&plane.known.servers().servers);
+        plane.pool.update(&plane.known.server_list());
+        plane.sender.retain_servers(&plane.known.server_list().servers);
         let is_outdated = plane.known.server_list_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
         // Gives the control plane time to send the first list after this process has started.
 
@@ -181,8 +181,10 @@
             let requested_at = Instant::now();
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.update_servers(Some(reader.assign_version(servers)), requested_at.elapsed());
-                    plane.pool.update(&plane.known.servers());
+                    plane
+                        .known
+                        .update_server_list(Some(reader.assign_version(servers)), requested_at.elapsed());
+                    plane.pool.update(&plane.known.server_list());
                 }
                 Err(error) => {
                     log::warn!(
