--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -127,7 +127,8 @@
 
     /// Whether what is here is of the group as it was begun last.
     pub fn reflects_recreation(&self, role: &Role) -> bool {
-        self.state.recreated_in_epoch() >= role.recreated_in_epoch || self.has(ReplicaBug::KeepsWhatWasGivenUp)
+        self.state.recreated_in_epoch() >= role.recreated_in_epoch
+            || self.has(ReplicaBug::KeepsWhatWasGivenUp)
     }
 
     /// This store is the head in that role: it stands where the chain stands. Where the group was given up and still is here as it was,
