--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! Time around a replica: who answers, whether a majority confirms the view, when the view has to change, and whom a
-//! machine asks for what it lacks. `now` is the time on the machine's own steady clock.
+//! Timing around a replica: failure detection, quorum checks, when to attempt a view change, and from whom to catch up. `now`
+//! is the time on the machine's own steady clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,35 +11,38 @@
     next_view, ClusterStatus, Effects, Identity, Member, Message, Replica, Replicated, Timing, Version, View,
 };
 
-/// Whether the view stood, asked at a certain moment.
+/// A check, started at a certain moment, whether a majority of the voters is still in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuorumCheck {
     epoch: u64,
     round: u64,
 }
 
-/// What became of a question or a write.
+/// The progress of a quorum check or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
+    /// Not decided yet.
     Pending,
-    /// A majority has confirmed the view; the write is on the disk of every link.
+    /// A majority has confirmed the view, or the write is durable on every link.
     Done,
-    /// The view has changed: nothing can be said from here.
+    /// The view has changed, so that this machine cannot tell the outcome.
     Superseded,
 }
 
-/// A machine that lacks no more than so many versions is level: the rest reaches it while the view changes.
+/// A machine that lacks at most this many versions counts as caught up: it receives the rest during the view change.
 const CAUGHT_UP_MAX_LAG: u64 = 8;
 
+/// A machine that has sent a catch-up request and may be made a voter.
 #[derive(Clone, Debug)]
 struct Joiner {
     member: Member,
     version: Version,
     eligible: bool,
+    /// When the request arrived.
     at: Duration,
 }
 
-/// A replica with its clock.
+/// Drives a [`Replica`]: sends heartbeats, detects failures, starts view changes and requests catch-up.
 #[derive(Clone, Debug)]
 pub struct Coordinator<S> {
     replica: Replica<S>,
@@ -48,7 +51,7 @@
     started_at: Duration,
     view_installed_at: Duration,
     epoch: u64,
-    /// When this machine last heard of an attempt to end its view, while it is sealed.
+    /// While the view is sealed: when this machine last received a message of an attempt to end it.
     last_attempt_message_at: Option<Duration>,
     liveness: Liveness,
     joiners: BTreeMap<Identity, Joiner>,
@@ -58,13 +61,13 @@
     requests_sent_at: Duration,
     next_attempt_at: Duration,
     catch_up_requested_at: Option<Duration>,
-    /// Counts questions without an answer, so that another machine is asked.
+    /// Catch-up requests since the last answer; selects the next machine to ask.
     unanswered_requests: usize,
     snapshot_requested_at: Duration,
 }
 
 impl<S: Replicated> Coordinator<S> {
-    /// `seeds` are asked for news while nobody else is known.
+    /// Creates the coordinator of a replica. The `seeds` are the addresses to contact while no voters are known.
     pub fn new(replica: Replica<S>, timing: Timing, seeds: Vec<SocketAddr>, now: Duration) -> Self {
         Self {
             epoch: replica.view().epoch,
@@ -87,21 +90,25 @@
         }
     }
 
+    /// Returns the replica.
     pub fn replica(&self) -> &Replica<S> {
         &self.replica
     }
 
-    /// When this machine last knew that a majority was in its view, it being a link that has the value.
+    /// Returns the newest time at which a majority is known to have been in this machine's view, while it was a caught-up link.
     pub fn quorum_confirmed_at(&self) -> Option<Duration> {
         self.quorum_confirmed_at
     }
 
-    /// Since when this machine is in its view.
+    /// Returns when this machine entered its view.
     pub fn view_installed_at(&self) -> Duration {
         self.view_installed_at
     }
 
     /// Makes a change as the head.
+    ///
+    /// # Errors
+    /// If this machine is not the head, is not ready for the next write, or the change is invalid.
     pub fn write(
         &mut self,
         now: Duration,
@@ -112,30 +119,32 @@
         written
     }
 
-    /// Asks a majority now whether the view stands.
+    /// Starts a check whether a majority of the voters is still in the view.
     pub fn start_quorum_check(&mut self, now: Duration) -> (QuorumCheck, Effects) {
         let (round, sends) = self.ping(now);
         (QuorumCheck { epoch: self.epoch, round }, Effects { sends, ..Effects::default() })
     }
 
-    /// Whether the view stood when a question was asked, so that what was committed here then was all there was.
-    pub fn quorum_check_progress(&self, question: QuorumCheck) -> Progress {
+    /// Returns the progress of a quorum check. Once it is done, everything that was committed when the check started was known
+    /// to be committed here.
+    pub fn quorum_check_progress(&self, check: QuorumCheck) -> Progress {
         if self.replica.has(PlantedBug::ReadWithoutContact) {
             return Progress::Done;
         }
         let sealed = self.replica.is_sealed();
-        if self.epoch != question.epoch || !self.replica.is_voter() || sealed {
+        if self.epoch != check.epoch || !self.replica.is_voter() || sealed {
             return Progress::Superseded;
         }
-        match self.liveness.confirmed_round() >= question.round {
+        match self.liveness.confirmed_round() >= check.round {
             true => Progress::Done,
             false => Progress::Pending,
         }
     }
 
-    /// What became of a version that this machine made as the head.
+    /// Returns the progress of a write that this machine made as the head.
     pub fn write_progress(&self, written: Version) -> Progress {
-        // A machine that was put out of its view goes on learning what others committed: that says nothing of its own write.
+        // A machine that was removed from the chain still learns versions that others committed; these say nothing about its
+        // own write.
         if !self.replica.is_link() || self.replica.view().epoch != written.epoch {
             return Progress::Superseded;
         }
@@ -145,20 +154,20 @@
         }
     }
 
-    /// The committed value, where this machine answers reads: it is the tail.
+    /// Returns the committed value if this machine is the tail and so answers reads.
     pub fn readable_value(&self) -> Option<&std::sync::Arc<S>> {
         self.replica.committed_value().filter(|_| self.replica.is_tail())
     }
 
-    /// Takes a message.
+    /// Handles a message from another member.
     pub fn handle(&mut self, now: Duration, from: &Member, message: Message) -> Effects {
         match &message {
-            Message::Pong { epoch, round: number, sealed, version } => {
-                self.record_pong(from, *epoch, *number, *sealed, *version)
+            Message::Pong { epoch, round, sealed, version } => {
+                self.record_pong(from, *epoch, *round, *sealed, *version)
             }
-            Message::CatchUpRequest { current: have, eligible, snapshot_progress: copying, .. } => {
-                self.record_join_request(now, from, *have, *eligible);
-                if copying.is_some() {
+            Message::CatchUpRequest { current, eligible, snapshot_progress, .. } => {
+                self.record_join_request(now, from, *current, *eligible);
+                if snapshot_progress.is_some() {
                     self.snapshot_requested_at = now;
                 }
             }
@@ -181,7 +190,7 @@
         outcome
     }
 
-    /// Does what is due.
+    /// Does everything that is due at `now`.
     pub fn tick(&mut self, now: Duration) -> Effects {
         let mut due = Effects::default();
         if self.snapshot_requested_at + self.timing.snapshot_idle_timeout < now {
@@ -202,7 +211,7 @@
         due
     }
 
-    /// Notices what a message has changed.
+    /// Updates timers after the view, the seal or the attempt's phase may have changed.
     fn track_changes(&mut self, now: Duration) {
         let epoch = self.replica.view().epoch;
         if epoch != self.epoch {
@@ -221,38 +230,37 @@
         }
     }
 
-    /// Asks all voters; gives the number of the round.
+    /// Starts a ping round to all voters; returns its number and the messages.
     fn ping(&mut self, now: Duration) -> (u64, Vec<(SocketAddr, Message)>) {
-        let number = self.liveness.begin_round(now);
+        let round = self.liveness.begin_round(now);
         if !self.replica.is_voter() || self.epoch == 0 {
-            return (number, Vec::new());
+            return (round, Vec::new());
         }
         let own = self.replica.own_member().clone();
         if !self.replica.is_sealed() {
-            self.count_standing(&own, number);
+            self.record_confirmation(&own, round);
         }
-        let ping =
-            Message::Ping { epoch: self.epoch, round: number, committed: self.replica.committed_version() };
+        let ping = Message::Ping { epoch: self.epoch, round, committed: self.replica.committed_version() };
         let voters = self.replica.view().voters.iter().map(|voter| voter.peer);
-        (number, voters.filter(|peer| *peer != own.peer).map(|peer| (peer, ping.clone())).collect())
+        (round, voters.filter(|peer| *peer != own.peer).map(|peer| (peer, ping.clone())).collect())
     }
 
-    fn record_pong(&mut self, from: &Member, epoch: u64, number: u64, sealed: bool, version: Version) {
-        let counts = self.liveness.hear(from, number, version);
-        if counts && epoch == self.epoch && !sealed {
-            self.count_standing(from, number);
+    fn record_pong(&mut self, from: &Member, epoch: u64, round: u64, sealed: bool, version: Version) {
+        let is_tracked = self.liveness.record_answer(from, round, version);
+        if is_tracked && epoch == self.epoch && !sealed {
+            self.record_confirmation(from, round);
         }
     }
 
-    /// A voter was in this view, taking its writes, when it was asked in that round.
-    fn count_standing(&mut self, voter: &Member, number: u64) {
+    /// Records that a voter was in this view, unsealed, when it answered that round.
+    fn record_confirmation(&mut self, voter: &Member, round: u64) {
         let view = self.replica.view();
         if view.voter_index(voter).is_none() {
             return;
         }
-        let minority = self.replica.has(PlantedBug::MinorityConfirms);
-        let majority = if minority { 1 } else { view.majority() };
-        let Some(sent_at) = self.liveness.count_standing(voter, number, majority) else { return };
+        let accepts_minority = self.replica.has(PlantedBug::MinorityConfirms);
+        let majority = if accepts_minority { 1 } else { view.majority() };
+        let Some(sent_at) = self.liveness.record_confirmation(voter, round, majority) else { return };
         if self.replica.is_caught_up() && self.replica.is_link() {
             self.quorum_confirmed_at = self.quorum_confirmed_at.max(Some(sent_at));
         }
@@ -261,7 +269,7 @@
     fn record_join_request(&mut self, now: Duration, from: &Member, version: Version, eligible: bool) {
         let joiner = Joiner { member: from.clone(), version, eligible, at: now };
         self.joiners.insert(from.identity.clone(), joiner);
-        // The same machine with another disk is gone.
+        // The same machine with its former disk does not come back.
         let replaced = |member: &Member| {
             member.identity.node == from.identity.node && member.identity.disk != from.identity.disk
         };
@@ -273,39 +281,40 @@
     }
 
     fn contacted_within(&self, now: Duration, member: &Member, within: Duration) -> bool {
-        let own = member.identity == self.replica.own_member().identity;
-        own || self.liveness.heard_at(&member.identity).is_some_and(|at| now < at + within)
+        let is_self = member.identity == self.replica.own_member().identity;
+        is_self || self.liveness.last_alive_at(&member.identity).is_some_and(|at| now < at + within)
     }
 
     fn is_nearly_caught_up(&self, version: Version) -> bool {
         let own = self.replica.version();
-        let near = version.epoch == own.epoch && version.sequence + CAUGHT_UP_MAX_LAG >= own.sequence;
-        near || self.replica.has(PlantedBug::EmptyIsLevel)
+        let is_near = version.epoch == own.epoch && version.sequence + CAUGHT_UP_MAX_LAG >= own.sequence;
+        is_near || self.replica.has(PlantedBug::EmptyIsLevel)
     }
 
     fn is_caught_up(&self, member: &Member) -> bool {
-        let own = member.identity == self.replica.own_member().identity;
-        own || self
-            .liveness
-            .version_of(&member.identity)
-            .is_some_and(|version| self.is_nearly_caught_up(version))
+        let is_self = member.identity == self.replica.own_member().identity;
+        is_self
+            || self
+                .liveness
+                .version_of(&member.identity)
+                .is_some_and(|version| self.is_nearly_caught_up(version))
     }
 
-    /// Machines that asked lately, may be voters, and lack next to nothing.
+    /// Returns the machines outside the view that may become voters and are nearly caught up.
     fn caught_up_joiners(&self) -> Vec<Member> {
-        let level = self
+        let caught_up = self
             .joiners
             .values()
             .filter(|joiner| joiner.eligible && self.is_nearly_caught_up(joiner.version));
-        let joiners = level.map(|joiner| joiner.member.clone());
+        let joiners = caught_up.map(|joiner| joiner.member.clone());
         joiners.filter(|joiner| self.replica.view().voter_index(joiner).is_none()).collect()
     }
 
-    /// Asks for what this machine lacks, or whether there is anything.
+    /// Requests catch-up if this machine is a learner or is fetching something, and a request is due.
     fn request_catch_up(&mut self, now: Duration) -> Effects {
-        let wants = self.replica.is_learner() || self.replica.is_catching_up();
+        let wants_catch_up = self.replica.is_learner() || self.replica.is_catching_up();
         let due = self.catch_up_requested_at.is_none_or(|at| now >= at + self.timing.catch_up_interval);
-        if !wants || !due {
+        if !wants_catch_up || !due {
             return Effects::default();
         }
         self.catch_up_requested_at = Some(now);
@@ -316,25 +325,27 @@
         if sources.is_empty() {
             return Effects::default();
         }
-        // Half of the questions go to the head, which has to know of this machine; the others find out who that is.
+        // Each machine is asked twice in a row, the head first: it must know of this machine to make it a voter. If the head is
+        // unknown or gone, asking the others finds the new one.
         let source = sources[(self.unanswered_requests / 2) % sources.len()];
         self.unanswered_requests += 1;
         self.replica.request_catch_up(source)
     }
 
-    /// Before there is a view: tells the seeds that this machine is there.
+    /// Announces this machine to the seeds, before there is a first view.
     fn announce_to_seeds(&self, seeds: &[SocketAddr]) -> Effects {
-        let follow = Message::CatchUpRequest {
+        let request = Message::CatchUpRequest {
             epoch: 0,
             current: self.replica.version(),
             snapshot_progress: None,
             target: None,
             eligible: self.replica.is_eligible(),
         };
-        let sends = seeds.iter().map(|seed| (*seed, follow.clone())).collect();
+        let sends = seeds.iter().map(|seed| (*seed, request.clone())).collect();
         Effects { sends, ..Effects::default() }
     }
 
+    /// Returns the machines to ask for what this one lacks: voters in takeover order, then seeds.
     fn catch_up_sources(&self) -> Vec<SocketAddr> {
         let own = self.replica.own_member().peer;
         let voters = self.replica.latest_view().takeover_order().map(|voter| voter.peer);
@@ -347,12 +358,12 @@
         sources
     }
 
-    /// Goes on with this machine's own attempt to change the view.
+    /// Continues this machine's attempt to change the view: resends requests, or abandons it after a timeout.
     fn continue_attempt(&mut self, now: Duration) -> Effects {
         let Some(phase) = self.replica.phase() else { return Effects::default() };
         let in_phase = now.saturating_sub(self.phase_started.1);
         let timeout = match phase {
-            Phase::Holding => self.timing.persist_timeout,
+            Phase::Persisting => self.timing.persist_timeout,
             Phase::Preparing | Phase::Accepting => self.timing.attempt_timeout,
         };
         if in_phase > timeout {
@@ -361,7 +372,7 @@
             return Effects::default();
         }
         let mut due = Effects::default();
-        if phase == Phase::Holding && in_phase > self.timing.persist_grace_period {
+        if phase == Phase::Persisting && in_phase > self.timing.persist_grace_period {
             due = self.replica.proceed_with_persisted();
         }
         if now >= self.requests_sent_at + self.timing.resend_interval {
@@ -371,80 +382,85 @@
         due
     }
 
+    /// Returns this machine's rank in the takeover order, from 1; 0 if it is not in the order.
     fn takeover_rank(&self) -> u32 {
         let own = &self.replica.own_member().identity;
-        let turn = self.replica.view().takeover_order().position(|voter| voter.identity == *own);
-        turn.map_or(0, |turn| turn as u32 + 1)
+        let index = self.replica.view().takeover_order().position(|voter| voter.identity == *own);
+        index.map_or(0, |index| index as u32 + 1)
     }
 
-    /// Begins to change the view where that is needed and this machine's turn.
+    /// Starts an attempt to change the view if that is needed and it is this machine's turn.
     fn change_view(&mut self, now: Duration) -> Effects {
-        let wished = match self.epoch {
+        let proposal = match self.epoch {
             0 => self.bootstrap_view(now),
             _ if !self.replica.is_voter() => None,
             _ => self.desired_view(now),
         };
-        let Some(wished) = wished else { return Effects::default() };
+        let Some(proposal) = proposal else { return Effects::default() };
         self.next_attempt_at = now + self.timing.takeover_stagger * self.takeover_rank();
-        self.replica.propose(wished)
+        self.replica.propose(proposal)
     }
 
+    /// Returns the view to propose: a changed one or, if the present view is sealed and no attempt makes progress, one with the
+    /// same members. None if this machine should not propose now.
     fn desired_view(&self, now: Duration) -> Option<View> {
         let view = self.replica.view();
-        let settling = now < self.view_installed_at + self.timing.suspect_after / 2;
-        let fresh_start = now < self.started_at + self.timing.suspect_after;
-        let quiet_for = self.last_attempt_message_at.map(|heard| now.saturating_sub(heard));
-        let waited = self.timing.sealed_view_timeout + self.timing.takeover_stagger * self.takeover_rank();
-        let stuck = quiet_for.is_some_and(|quiet| quiet > waited);
+        let just_installed = now < self.view_installed_at + self.timing.suspect_after / 2;
+        let just_started = now < self.started_at + self.timing.suspect_after;
+        let idle_for = self.last_attempt_message_at.map(|at| now.saturating_sub(at));
+        let timeout = self.timing.sealed_view_timeout + self.timing.takeover_stagger * self.takeover_rank();
+        let stuck = idle_for.is_some_and(|idle| idle > timeout);
         let first_alive = view.takeover_order().find(|voter| self.is_alive(now, voter));
-        let own_turn = first_alive == Some(self.replica.own_member()) && !self.replica.is_sealed();
-        if !stuck && (!own_turn || settling || fresh_start) {
+        let is_own_turn = first_alive == Some(self.replica.own_member()) && !self.replica.is_sealed();
+        if !stuck && (!is_own_turn || just_installed || just_started) {
             return None;
         }
         let joiners = self.caught_up_joiners();
-        let judged = ClusterStatus {
+        let status = ClusterStatus {
             is_alive: &|member| self.is_alive(now, member),
-            is_lost: &|member| !self.contacted_within(now, member, self.timing.replace_after) && !fresh_start,
+            is_lost: &|member| {
+                !self.contacted_within(now, member, self.timing.replace_after) && !just_started
+            },
             is_caught_up: &|member| self.is_caught_up(member),
             joiners: &joiners,
         };
-        let mut next = next_view(view, &judged, self.replica.rules());
+        let mut next = next_view(view, &status, self.replica.rules());
         if self.replica.has(PlantedBug::ChainMayBeShort) {
             next = next.map(|next| View { chain: vec![self.replica.own_member().clone()], ..next });
         }
-        let same = || View { epoch: view.epoch + 1, ..view.clone() };
-        next.or_else(|| stuck.then(same))
+        let same_members = || View { epoch: view.epoch + 1, ..view.clone() };
+        next.or_else(|| stuck.then(same_members))
     }
 
-    /// The very first view, of the machines that are there; seeds try one after the other.
+    /// Returns the first view, formed of the machines that have announced themselves. The seeds try one after the other.
     fn bootstrap_view(&self, now: Duration) -> Option<View> {
         let rules = self.replica.rules();
-        let turn = self.replica.view().voter_index(self.replica.own_member())? as u32;
+        let index = self.replica.view().voter_index(self.replica.own_member())? as u32;
         let since_start = now.saturating_sub(self.started_at);
-        if since_start < self.timing.ping_interval * 2 * (turn + 1) {
+        if since_start < self.timing.ping_interval * 2 * (index + 1) {
             return None;
         }
-        let seat = |member: &Member| self.replica.view().voter_index(member).unwrap_or(usize::MAX);
+        let voter_index = |member: &Member| self.replica.view().voter_index(member).unwrap_or(usize::MAX);
         let eligible =
             self.joiners.values().filter(|joiner| joiner.eligible).map(|joiner| joiner.member.clone());
         let mut voters: Vec<Member> = eligible.collect();
         if self.replica.is_eligible() {
             voters.push(self.replica.own_member().clone());
         }
-        voters.sort_by_key(|member| (seat(member), member.identity.clone()));
+        voters.sort_by_key(|member| (voter_index(member), member.identity.clone()));
         voters.dedup();
         voters.truncate(rules.voter_count());
-        let patience = self.timing.bootstrap_grace_period + self.timing.takeover_stagger * turn;
-        let enough = match since_start > patience {
+        let grace_period = self.timing.bootstrap_grace_period + self.timing.takeover_stagger * index;
+        let min_voters = match since_start > grace_period {
             true => rules.min_chain_length(voters.len()),
             false => rules.voter_count(),
         };
         let chain = voters.clone();
-        (voters.len() >= enough).then(|| View { epoch: 1, voters, chain, start: Version::initial::<S>() })
+        (voters.len() >= min_voters).then(|| View { epoch: 1, voters, chain, start: Version::initial::<S>() })
     }
 }
 
-/// Adds what is to be done to what is to be done.
+/// Adds the effects `more` to `due`.
 fn merge(due: &mut Effects, more: Effects) {
     due.write_value |= more.write_value;
     due.write_record |= more.write_record;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,5 +1,6 @@
-//! Coordination among the processes of a fleet, as pure state machines: views of a chain agreed step by step, the chain
-//! itself, learning, and the placement of groups of data on stores. No I/O, no clock, no chance: callers hand these in.
+//! Coordination among the processes of a fleet, as pure state machines: view changes decided by Paxos, chain replication of
+//! a value, catch-up of learners, the placement of groups of data on stores, and peer sampling. The crate does no I/O and
+//! reads no clock or random source: callers pass in messages, the time and random numbers.
 
 mod acceptor;
 mod coordinator;
--- a/crates/coordination/src/liveness.rs
+++ b/crates/coordination/src/liveness.rs
@@ -1,89 +1,96 @@
-//! Who answers, and which rounds of questions a majority has answered.
+//! Failure detection by pings: when each member was last known to be alive, and which ping rounds a majority has answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::{Identity, Member, Version};
 
-/// Rounds of pings whose answers are still counted.
+/// Number of ping rounds whose answers are still counted.
 const MAX_TRACKED_ROUNDS: usize = 16;
 
 #[derive(Clone, Debug)]
 struct PingRound {
     number: u64,
     sent_at: Duration,
-    standing: BTreeSet<Identity>,
+    /// Voters that were in the present view, unsealed, when they answered.
+    confirmed_by: BTreeSet<Identity>,
 }
 
 #[derive(Clone, Debug)]
 struct LastContact {
+    /// When the ping was sent that the member answered: it was certainly alive after that.
     at: Duration,
     version: Version,
 }
 
-/// What the answers to pings tell.
+/// Failure detector fed by the answers to pings. Times are on this machine's steady clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Liveness {
-    heard: BTreeMap<Identity, LastContact>,
+    contacts: BTreeMap<Identity, LastContact>,
     rounds: VecDeque<PingRound>,
     last_round: u64,
     confirmed_round: u64,
 }
 
 impl Liveness {
-    /// The newest round that a majority has answered from the present view.
+    /// Returns the newest round that a majority answered from within the present view.
     pub fn confirmed_round(&self) -> u64 {
         self.confirmed_round
     }
 
-    /// In a new view everybody counts as heard, and answers to earlier rounds do not count.
+    /// Starts a new view: all voters count as alive now, and answers to earlier rounds are ignored.
     pub fn begin_view(&mut self, now: Duration, voters: &[Member]) {
         self.rounds.clear();
         for voter in voters {
-            let heard = LastContact { at: now, version: Version::default() };
-            self.heard.entry(voter.identity.clone()).or_insert(heard).at = now;
+            let contact = LastContact { at: now, version: Version::default() };
+            self.contacts.entry(voter.identity.clone()).or_insert(contact).at = now;
         }
     }
 
-    /// Begins a round of pings; gives its number.
+    /// Starts a ping round and returns its number.
     pub fn begin_round(&mut self, now: Duration) -> u64 {
         self.last_round += 1;
-        self.rounds.push_back(PingRound { number: self.last_round, sent_at: now, standing: BTreeSet::new() });
+        self.rounds.push_back(PingRound {
+            number: self.last_round,
+            sent_at: now,
+            confirmed_by: BTreeSet::new(),
+        });
         while self.rounds.len() > MAX_TRACKED_ROUNDS {
             self.rounds.pop_front();
         }
         self.last_round
     }
 
-    /// A machine has answered a round: it was there when the round began. False where the round no longer counts.
-    pub fn hear(&mut self, from: &Member, number: u64, version: Version) -> bool {
+    /// Records that a machine answered a round, and so was alive when the round started. Returns false if the round is no
+    /// longer tracked.
+    pub fn record_answer(&mut self, from: &Member, number: u64, version: Version) -> bool {
         let Some(round) = self.rounds.iter().find(|round| round.number == number) else { return false };
-        let heard = LastContact { at: round.sent_at, version };
-        let known = self.heard.entry(from.identity.clone()).or_insert(heard.clone());
-        if known.at <= heard.at {
-            *known = heard;
+        let contact = LastContact { at: round.sent_at, version };
+        let known = self.contacts.entry(from.identity.clone()).or_insert(contact.clone());
+        if known.at <= contact.at {
+            *known = contact;
         }
         true
     }
 
-    /// A voter stands by the view in a round; once `majority` do, when the round began.
-    pub fn count_standing(&mut self, voter: &Member, number: u64, majority: usize) -> Option<Duration> {
+    /// Records that a voter confirmed the view in a round. Returns when the round was sent once `majority` voters have.
+    pub fn record_confirmation(&mut self, voter: &Member, number: u64, majority: usize) -> Option<Duration> {
         let round = self.rounds.iter_mut().find(|round| round.number == number)?;
-        round.standing.insert(voter.identity.clone());
-        if round.standing.len() < majority {
+        round.confirmed_by.insert(voter.identity.clone());
+        if round.confirmed_by.len() < majority {
             return None;
         }
         self.confirmed_round = self.confirmed_round.max(number);
         Some(round.sent_at)
     }
 
-    /// When a machine is known to have been there.
-    pub fn heard_at(&self, identity: &Identity) -> Option<Duration> {
-        self.heard.get(identity).map(|heard| heard.at)
+    /// Returns when a machine was last known to be alive.
+    pub fn last_alive_at(&self, identity: &Identity) -> Option<Duration> {
+        self.contacts.get(identity).map(|contact| contact.at)
     }
 
-    /// What a machine had when it was heard.
+    /// Returns the version that a machine had when it last answered.
     pub fn version_of(&self, identity: &Identity) -> Option<Version> {
-        self.heard.get(identity).map(|heard| heard.version)
+        self.contacts.get(identity).map(|contact| contact.version)
     }
 }
--- a/crates/coordination/src/replica/chain.rs
+++ b/crates/coordination/src/replica/chain.rs
@@ -1,27 +1,34 @@
-//! Writes along the chain. The head makes a version, every link puts it on its disk before it passes it on, and the
-//! tail tells all links that it is committed. One version is on its way at a time.
+//! Chain replication of writes. The head makes a version, every link makes it durable before it forwards it to its successor,
+//! and the tail tells all links that it is committed. At most one version is in flight at a time.
 
 use std::sync::Arc;
 
 use super::{PlantedBug, Replica};
 use crate::{Effects, LogEntry, Member, Message, Replicated, Version};
 
-/// Why the head takes no write now. Asking again is always right.
+/// Why a write was not accepted. The write had no effect, so it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteRefusal {
+    /// This machine is not the head of the chain.
     #[error("this machine is not the head of the chain: ask the head")]
     NotHead,
+    /// The view is sealed, this machine is not caught up, the chain is too short, or an earlier write is uncommitted.
     #[error("the view is being changed, or an earlier write is not committed yet: ask again")]
     NotReady,
+    /// [`Replicated::apply`] rejected the change.
     #[error("the change cannot be applied: report this as a fault of the program")]
     InvalidChange,
 }
 
-/// A longer change is fetched by each link in pieces instead of being sent along.
+/// Largest change that is forwarded inside an append message. Links fetch the result of a larger one from their predecessor,
+/// in chunks.
 const MAX_INLINE_ENTRY_BYTES: usize = 64 << 10;
 
 impl<S: Replicated> Replica<S> {
-    /// Whether all that this head has is committed and it may make the next version.
+    /// Checks that this machine is the head, has only committed content and may make the next version.
+    ///
+    /// # Errors
+    /// If that is not so.
     pub fn check_writable(&self) -> Result<(), WriteRefusal> {
         if !self.is_head() {
             return Err(WriteRefusal::NotHead);
@@ -34,36 +41,41 @@
         }
     }
 
-    /// Makes the next version and sends it on its way; it is committed once [`Replica::committed`] has reached it.
+    /// Makes the next version and forwards it; it is committed once [`Replica::committed_version`] has reached it.
+    ///
+    /// # Errors
+    /// If this machine may not make the next version now, or the change is invalid.
     pub fn write(&mut self, change: Vec<u8>) -> Result<(Version, Effects), WriteRefusal> {
         self.check_writable()?;
         let value = self.value.apply(&change).ok_or(WriteRefusal::InvalidChange)?;
         let result =
             Version { epoch: self.view().epoch, sequence: self.version.sequence + 1, digest: value.digest() };
-        let step = LogEntry { base: self.version, change: Some(change), result };
-        self.take_step(step.clone(), Arc::new(value));
+        let entry = LogEntry { base: self.version, change: Some(change), result };
+        self.adopt_entry(entry.clone(), Arc::new(value));
         if self.has(PlantedBug::HeadCommitsAlone) {
             self.committed_version = Some(result);
         }
-        self.pass_on(Some(step));
+        self.forward(Some(entry));
         Ok((result, self.finish()))
     }
 
-    /// As the head, sends what is not known to be committed on its way once more: links that have it pass it on, others
+    /// As the head, forwards the newest version again if it is not known to be committed. Links that have it forward it, others
     /// fetch it.
     pub fn resend_uncommitted(&mut self) -> Effects {
         if self.is_head() && self.may_append() && self.committed_version != Some(self.version) {
-            self.pass_on(None);
+            self.forward(None);
         }
         self.finish()
     }
 
+    /// Whether this machine is a caught-up link of an unsealed view.
     pub(super) fn may_append(&self) -> bool {
         let sealed = self.is_sealed() && !self.has(PlantedBug::SealedTakesWrites);
         self.is_link() && self.is_caught_up() && !sealed
     }
 
-    pub(super) fn append(&mut self, from: &Member, epoch: u64, version: Version, step: Option<LogEntry>) {
+    /// Handles a write that the predecessor forwards.
+    pub(super) fn append(&mut self, from: &Member, epoch: u64, version: Version, entry: Option<LogEntry>) {
         if !self.in_epoch(from, epoch) || !self.is_link() || version.epoch != epoch {
             return;
         }
@@ -72,42 +84,45 @@
             return;
         }
         if self.version == version {
-            return self.pass_on(step);
+            return self.forward(entry);
         }
         if self.version > version {
             return;
         }
-        if let Some((step, value)) = step.and_then(|step| self.applied(step)) {
-            self.take_step(step.clone(), Arc::new(value));
-            return self.pass_on(Some(step));
+        if let Some((entry, value)) = entry.and_then(|entry| self.apply(entry)) {
+            self.adopt_entry(entry.clone(), Arc::new(value));
+            return self.forward(Some(entry));
         }
         self.fetch_from(from.peer, Some(version), None);
     }
 
-    /// A step that leads on from the present version, with its result checked.
-    pub(super) fn applied(&self, step: LogEntry) -> Option<(LogEntry, S)> {
-        if step.base != self.version {
+    /// Applies an entry to the present value, without storing the result. Returns none if the entry does not follow the present
+    /// version or the digest of the result does not match.
+    pub(super) fn apply(&self, entry: LogEntry) -> Option<(LogEntry, S)> {
+        if entry.base != self.version {
             return None;
         }
-        let value = match &step.change {
+        let value = match &entry.change {
             Some(change) => self.value.apply(change)?,
             None => S::clone(&self.value),
         };
-        (value.digest() == step.result.digest).then_some((step, value))
+        (value.digest() == entry.result.digest).then_some((entry, value))
     }
 
-    pub(super) fn take_step(&mut self, step: LogEntry, value: Arc<S>) {
-        self.put_version(step.result, value);
-        self.recent_log.push(step);
+    /// Adopts an entry and the value that it results in.
+    pub(super) fn adopt_entry(&mut self, entry: LogEntry, value: Arc<S>) {
+        self.put_version(entry.result, value);
+        self.recent_log.push(entry);
     }
 
-    /// This machine has its version on the disk when the message leaves: the successor is next, or all links are told.
-    pub(super) fn pass_on(&mut self, step: Option<LogEntry>) {
+    /// Forwards the present version to the successor or, as the tail, tells all links that it is committed. The version is
+    /// durable here before the message is sent, because effects write first.
+    pub(super) fn forward(&mut self, entry: Option<LogEntry>) {
         let (epoch, version) = (self.view().epoch, self.version);
         if let Some(successor) = self.view().successor(&self.own_member.identity) {
-            let step = step.filter(|step| step.size() <= MAX_INLINE_ENTRY_BYTES);
+            let entry = entry.filter(|entry| entry.size() <= MAX_INLINE_ENTRY_BYTES);
             let peer = successor.peer;
-            return self.send(peer, Message::Append { epoch, version, entry: step });
+            return self.send(peer, Message::Append { epoch, version, entry });
         }
         let links: Vec<_> = self.view().chain.iter().map(|link| link.peer).collect();
         for peer in links {
@@ -118,9 +133,10 @@
         }
     }
 
+    /// Records that a version of the present view is committed.
     pub(super) fn learn_committed(&mut self, epoch: u64, version: Version) {
-        let here = epoch == self.view().epoch && version.epoch == epoch && self.is_link();
-        if here && self.committed_version.is_none_or(|known| known < version) {
+        let applies = epoch == self.view().epoch && version.epoch == epoch && self.is_link();
+        if applies && self.committed_version.is_none_or(|known| known < version) {
             self.committed_version = Some(version);
         }
     }
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -1,10 +1,11 @@
-//! One machine's part in views, chain and learning, without time: messages come in; what has to be written and sent
-//! goes out. The caller writes first, the record and then the value, and sends only when both are on the disk.
+//! The state machine of one member: view changes, chain replication and catch-up, without any notion of time. It takes messages
+//! and returns effects. The caller first writes the voting record, then the value, and sends messages only once both are
+//! durable.
 
+mod catch_up;
 mod chain;
-mod deciding;
-mod following;
 mod planted;
+mod view_change;
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,22 +14,24 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{Acceptor, Ballot, Member, Message, Replicated, Version, View, ViewRules};
+use catch_up::{CatchUp, PartialSnapshot, RecentLog, Snapshot};
 pub use chain::WriteRefusal;
-use deciding::Attempt;
-pub(crate) use deciding::Phase;
-use following::{CatchUp, PartialSnapshot, RecentLog, Snapshot};
 pub use planted::PlantedBug;
+use view_change::Attempt;
+pub(crate) use view_change::Phase;
 
-/// What a machine must not forget besides the value.
+/// The durable state of a member besides the value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VotingRecord {
+    /// State of the Paxos acceptor, with the present view.
     pub acceptor: Acceptor,
-    /// The newest ballot for which this machine was asked to hold a version, and the epoch that the ballot ends.
+    /// Newest ballot for which this machine was asked to persist a version, with the epoch of the view that it is to replace.
     pub persist_request: Option<(u64, Ballot)>,
 }
 
 impl VotingRecord {
-    /// Of a machine whose disk is empty. `seeds` are the voters on the very first view; none but at the very first start.
+    /// Returns the record of a machine with an empty disk. `seeds` are the voters that decide the first view; there are none
+    /// unless the whole system starts for the first time.
     pub fn initial<S: Replicated>(seeds: &[SocketAddr]) -> Self {
         Self {
             acceptor: Acceptor::new(View::from_seeds(seeds, Version::initial::<S>())),
@@ -37,16 +40,19 @@
     }
 }
 
-/// What is on a machine's disk.
+/// Everything that a member has on its disk.
 #[derive(Clone, Debug)]
 pub struct DurableState<S> {
+    /// State of voting.
     pub record: VotingRecord,
+    /// Version of the value.
     pub version: Version,
+    /// The replicated value.
     pub value: Arc<S>,
 }
 
 impl<S: Replicated> DurableState<S> {
-    /// An empty disk.
+    /// Returns the state of an empty disk; for `seeds` see [`VotingRecord::initial`].
     pub fn empty(seeds: &[SocketAddr]) -> Self {
         Self {
             record: VotingRecord::initial::<S>(seeds),
@@ -56,31 +62,32 @@
     }
 }
 
-/// What is to be done, in this order.
+/// What the caller has to do, in this order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Effects {
-    /// The record has changed and must be on the disk.
+    /// Whether the voting record has changed and must be made durable.
     pub write_record: bool,
-    /// Then the value.
+    /// Whether the value has changed and must be made durable, after the record.
     pub write_value: bool,
-    /// Only then these leave.
+    /// Messages to send once the writes are durable, with the addresses of their receivers.
     pub sends: Vec<(SocketAddr, Message)>,
 }
 
-/// One machine of the core.
+/// The state machine of one member of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica<S> {
     own_member: Member,
-    /// Whether it may become a voter.
+    /// Whether this machine may become a voter.
     eligible: bool,
     rules: ViewRules,
     record: VotingRecord,
     version: Version,
     value: Arc<S>,
-    /// The newest version known to be on the disk of every link, in the present view.
+    /// Newest version known to be durable on every link of the present view.
     committed_version: Option<Version>,
-    /// A later view than the one it votes in, in which it does not vote.
+    /// Newest view after the present one, if this machine is not a voter in it.
     later_view: Option<View>,
+    /// Highest ballot round seen.
     highest_round: u64,
     attempt: Option<Attempt>,
     catch_up: Option<CatchUp>,
@@ -93,15 +100,17 @@
 }
 
 impl<S: Replicated> Replica<S> {
-    pub fn new(me: Member, eligible: bool, rules: ViewRules, stored: DurableState<S>) -> Self {
-        // A ballot of an earlier life must not be used for another proposal.
+    /// Restores a member from its durable state.
+    pub fn new(own_member: Member, eligible: bool, rules: ViewRules, stored: DurableState<S>) -> Self {
+        // A ballot from before the restart must not be reused for another proposal.
         let highest_round = stored.record.acceptor.promised.as_ref().map_or(0, |promised| promised.round);
         let view = &stored.record.acceptor.view;
-        // A crash came between the record of a new view and the value's new name.
-        let begins = view.epoch > 0 && stored.version == view.start;
-        let version = if begins { stored.version.with_epoch(view.epoch) } else { stored.version };
+        // If the process crashed after it wrote the record of a new view and before it wrote the value under its new version, the
+        // stored version is the view's start version.
+        let has_start = view.epoch > 0 && stored.version == view.start;
+        let version = if has_start { stored.version.with_epoch(view.epoch) } else { stored.version };
         Self {
-            own_member: me,
+            own_member,
             eligible,
             rules,
             record: stored.record,
@@ -121,7 +130,7 @@
         }
     }
 
-    /// Switches a mistake on.
+    /// Enables a planted bug.
     #[cfg(feature = "planted-bugs")]
     pub fn plant(&mut self, bug: PlantedBug) {
         self.planted = Some(bug);
@@ -131,134 +140,143 @@
         self.planted == Some(bug)
     }
 
+    /// Returns this machine's identity and address.
     pub fn own_member(&self) -> &Member {
         &self.own_member
     }
 
+    /// Whether this machine may become a voter.
     pub fn is_eligible(&self) -> bool {
         self.eligible
     }
 
+    /// Returns the sizes of voter sets and chains.
     pub fn rules(&self) -> ViewRules {
         self.rules
     }
 
+    /// Returns the voting record.
     pub fn record(&self) -> &VotingRecord {
         &self.record
     }
 
+    /// Returns the version of the value.
     pub fn version(&self) -> Version {
         self.version
     }
 
+    /// Returns the value, which may include a write that is not committed.
     pub fn value(&self) -> &Arc<S> {
         &self.value
     }
 
-    /// The view that it votes in.
+    /// Returns the view whose successor this machine votes on.
     pub fn view(&self) -> &View {
         &self.record.acceptor.view
     }
 
-    /// The newest view that it has heard of.
+    /// Returns the newest view that this machine knows of.
     pub fn latest_view(&self) -> &View {
-        self.later_view.as_ref().filter(|heard| heard.epoch > self.view().epoch).unwrap_or(self.view())
+        self.later_view.as_ref().filter(|later| later.epoch > self.view().epoch).unwrap_or(self.view())
     }
 
-    /// Whether it is a voter of the newest view that it knows.
+    /// Whether this machine is a voter of the newest view that it knows of.
     pub fn is_voter(&self) -> bool {
-        self.latest_view().epoch == self.view().epoch && self.seat_in(self.view(), &self.own_member).is_some()
+        self.latest_view().epoch == self.view().epoch
+            && self.voter_index_in(self.view(), &self.own_member).is_some()
     }
 
+    /// Whether this machine is a link of the chain.
     pub fn is_link(&self) -> bool {
         self.is_voter() && self.view().chain_index(&self.own_member.identity).is_some()
     }
 
+    /// Whether this machine is the head of the chain.
     pub fn is_head(&self) -> bool {
         self.is_voter() && self.view().head() == Some(&self.own_member)
     }
 
+    /// Whether this machine is the tail of the chain.
     pub fn is_tail(&self) -> bool {
         self.is_voter() && self.view().tail() == Some(&self.own_member)
     }
 
-    /// Whether it has promised to take no more writes of its view.
+    /// Whether this machine has promised a ballot, and so takes no more writes of its view.
     pub fn is_sealed(&self) -> bool {
         self.record.acceptor.is_sealed()
     }
 
-    /// Whether it has the value as a link of the present view.
+    /// Whether this machine has a version of the present view, and so at least the view's start version.
     pub fn is_caught_up(&self) -> bool {
         self.is_voter() && self.version.epoch == self.view().epoch && self.view().epoch > 0
     }
 
+    /// Returns the newest version known to be durable on every link of the present view; for a learner, the version that it
+    /// has learned to be committed.
     pub fn committed_version(&self) -> Option<Version> {
         self.committed_version
     }
 
-    /// The value, if all of it is known to be committed.
+    /// Returns the value if all of it is known to be committed.
     pub fn committed_value(&self) -> Option<&Arc<S>> {
         let committed =
             self.committed_version == Some(self.version) || self.has(PlantedBug::UncommittedIsPublished);
         committed.then_some(&self.value)
     }
 
-    /// Takes one message.
+    /// Handles one message.
     pub fn handle(&mut self, from: &Member, message: Message) -> Effects {
         self.receive(from, message);
         self.finish()
     }
 
+    /// Handles the messages to itself, and returns the effects collected since the last call.
     pub(crate) fn finish(&mut self) -> Effects {
         while let Some(message) = self.self_messages.pop_front() {
-            let me = self.own_member.clone();
-            self.receive(&me, message);
+            let own_member = self.own_member.clone();
+            self.receive(&own_member, message);
         }
         std::mem::take(&mut self.effects)
     }
 
     fn receive(&mut self, from: &Member, message: Message) {
         match message {
-            Message::Ping { epoch, round: number, committed } => self.pinged(from, epoch, number, committed),
-            Message::Pong { epoch, .. } => self.ponged(from, epoch),
+            Message::Ping { epoch, round, committed } => self.handle_ping(from, epoch, round, committed),
+            Message::Pong { epoch, .. } => self.handle_pong(from, epoch),
             Message::Prepare { epoch, ballot } => self.prepare(from, epoch, ballot),
             Message::Promised { epoch, ballot, accepted, version } => {
                 self.promised(from, epoch, &ballot, accepted, version)
             }
-            Message::Rejected { epoch, promised } => self.refused(epoch, &promised),
+            Message::Rejected { epoch, promised } => self.rejected(epoch, &promised),
             Message::Persist { epoch, ballot, version, source } => {
-                self.hold(from, epoch, ballot, version, source)
+                self.persist(from, epoch, ballot, version, source)
             }
-            Message::Persisted { epoch, ballot, version } => self.holding(from, epoch, &ballot, version),
+            Message::Persisted { epoch, ballot, version } => self.persisted(from, epoch, &ballot, version),
             Message::Accept { epoch, ballot, view } => self.accept(from, epoch, &ballot, &view),
             Message::Accepted { epoch, ballot } => self.accepted(from, epoch, &ballot),
             Message::InstallView { view } => self.install(view),
-            Message::ViewRequest { epoch } => self.tell_view_if_later(from, epoch),
-            Message::Append { epoch, version, entry: step } => self.append(from, epoch, version, step),
+            Message::ViewRequest { epoch } => self.send_view_if_later(from, epoch),
+            Message::Append { epoch, version, entry } => self.append(from, epoch, version, entry),
             Message::Committed { epoch, version } => self.learn_committed(epoch, version),
-            Message::CatchUpRequest {
-                current: have,
-                snapshot_progress: copying,
-                target: wanted,
-                epoch,
-                ..
-            } => self.followed(from, epoch, have, copying, wanted),
-            Message::UpToDate { version } => self.found_level(version),
-            Message::LogEntries { entries: steps } => self.take_steps(steps),
+            Message::CatchUpRequest { epoch, current, snapshot_progress, target, .. } => {
+                self.answer_catch_up(from, epoch, current, snapshot_progress, target)
+            }
+            Message::UpToDate { version } => self.take_up_to_date(version),
+            Message::LogEntries { entries } => self.take_entries(entries),
             Message::SnapshotChunk { version, total, offset, bytes } => {
-                self.take_piece(version, total, offset, &bytes)
+                self.take_chunk(version, total, offset, &bytes)
             }
         }
     }
 
-    fn pinged(&mut self, from: &Member, epoch: u64, number: u64, committed: Option<Version>) {
+    fn handle_ping(&mut self, from: &Member, epoch: u64, round: u64, committed: Option<Version>) {
         let newest = self.latest_view().epoch;
         if newest > epoch {
-            return self.tell_view_if_later(from, epoch);
+            return self.send_view_if_later(from, epoch);
         }
         let pong = Message::Pong {
             epoch: self.view().epoch,
-            round: number,
+            round,
             sealed: self.is_sealed(),
             version: self.version,
         };
@@ -268,12 +286,12 @@
         }
     }
 
-    fn ponged(&mut self, from: &Member, epoch: u64) {
-        self.tell_view_if_later(from, epoch);
+    fn handle_pong(&mut self, from: &Member, epoch: u64) {
+        self.send_view_if_later(from, epoch);
     }
 
-    /// Brings the newest view to a machine that is in an earlier one.
-    fn tell_view_if_later(&mut self, to: &Member, epoch: u64) {
+    /// Sends the newest view to a machine that is in an earlier one.
+    fn send_view_if_later(&mut self, to: &Member, epoch: u64) {
         let newest = self.latest_view();
         if newest.epoch > epoch {
             let view = newest.clone();
@@ -281,11 +299,12 @@
         }
     }
 
-    /// Whether a message belongs to the view that this machine votes in; else the one who is behind is told.
+    /// Whether a message belongs to the view that this machine votes in. If not, whichever side has the older view is brought up
+    /// to date.
     fn in_epoch(&mut self, from: &Member, epoch: u64) -> bool {
         let newest = self.latest_view().epoch;
         if epoch < newest {
-            self.tell_view_if_later(from, epoch);
+            self.send_view_if_later(from, epoch);
         }
         if epoch > newest {
             self.send(from.peer, Message::ViewRequest { epoch: newest });
--- a/crates/coordination/src/replica/planted.rs
+++ b/crates/coordination/src/replica/planted.rs
@@ -1,42 +1,42 @@
-//! Mistakes that the simulator switches on, one at a time, to see that it finds them. No program can.
+//! Bugs that the simulation plants, one at a time, to check that it detects them. They cannot be enabled in a program.
 
-/// A mistake in the core's state machines.
+/// A bug in the state machines of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PlantedBug {
-    /// What is not committed is handed out.
+    /// An uncommitted value is published.
     UncommittedIsPublished,
-    /// The record of promises is not written.
+    /// The voting record is not written to the disk.
     PromiseIsNotWritten,
-    /// An accept goes through in spite of a higher promise.
+    /// A voter accepts a proposal although it has promised a higher ballot.
     PromiseIsIgnored,
-    /// A sealed link goes on taking writes.
+    /// A link takes writes of a view that it has sealed.
     SealedTakesWrites,
-    /// A proposer does not take up what may have been decided.
+    /// A proposer ignores proposals accepted earlier, which may have been decided.
     AcceptedIsForgotten,
-    /// A view begins with the proposer's own version.
+    /// A view starts with the proposer's own version instead of the newest one of a majority.
     OwnVersionStarts,
-    /// A view is proposed before its links hold the version it begins with.
+    /// A view is proposed before its start version is durable on its links.
     NothingIsHeld,
-    /// The chain may be shorter than is needed to meet every majority.
+    /// The chain may be too short to intersect every majority of the voters.
     ChainMayBeShort,
-    /// Those who are silent do not count for a majority.
+    /// The majority is computed from the proposed chain instead of all voters.
     MajorityOfTheLiving,
-    /// A machine with the same name votes for one whose disk was lost.
+    /// A machine that lost its disk votes under its former identity, because only the name is compared.
     NameVotes,
-    /// The head counts a write as committed when it is on its own disk.
+    /// The head counts a write as committed as soon as it has made it.
     HeadCommitsAlone,
-    /// A member takes whatever it has for the version the view begins with.
+    /// A member treats whatever version it has as the start version of a new view.
     AnyVersionStarts,
-    /// A read is answered without asking a majority.
+    /// A read is answered without a quorum check.
     ReadWithoutContact,
-    /// A view counts as confirmed as soon as one voter stands by it.
+    /// One voter is enough to confirm a view.
     MinorityConfirms,
-    /// A refusal is given from a state that is not committed.
+    /// The head decides about a write from an uncommitted state.
     RefusalInDoubt,
-    /// A follower is given what is not committed.
+    /// A learner is sent uncommitted versions.
     FollowerGetsUncommitted,
-    /// A machine that has nothing counts as level.
+    /// Every machine counts as caught up, even an empty one.
     EmptyIsLevel,
-    /// The tail commits a write before it is on its disk.
+    /// The tail announces a write as committed without writing it to its disk.
     TailCommitsUnwritten,
 }
--- a/crates/coordination/src/sampling.rs
+++ b/crates/coordination/src/sampling.rs
@@ -1,34 +1,42 @@
-//! Peer sampling: each process knows a few others, and swaps a part of what it knows with the one it has known longest.
-//! Whoever is gone is not put in again and drops out; traffic is the same however many there are. Half of the places are
-//! for the own zone, so that a zone of up to that many is known whole.
+//! Peer sampling by shuffling, as in Cyclon: each process keeps a small partial view of the others, and regularly exchanges a
+//! part of it with the peer whose entry is oldest. Entries of processes that are gone are not renewed and drop out. The
+//! traffic of a process does not depend on the number of processes. Half of the entries are reserved for the process's own
+//! zone, so that a zone of up to that size is known completely.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A process as others know it.
+/// A process that takes part in peer sampling.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
+    /// Configured name of the machine.
     pub node: String,
+    /// Availability zone.
     pub zone: String,
+    /// Address for shuffles; identifies the peer.
     pub address: SocketAddr,
 }
 
-/// A peer with the number of rounds since it told of itself.
+/// An entry of a partial view: a peer and its age, in rounds since the peer created the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerEntry {
+    /// The peer.
     pub peer: Peer,
+    /// Rounds since the peer created the entry.
     pub age: u32,
 }
 
-/// A swap that was begun: what goes to whom.
+/// A shuffle in progress: the peer to send `offer` to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shuffle {
+    /// Peer to shuffle with.
     pub target: Peer,
+    /// Entries to send to it.
     pub offer: Vec<PeerEntry>,
 }
 
-/// The partial view of one process.
+/// The bounded set of peers that one process knows.
 #[derive(Clone, Debug)]
 pub struct PartialView {
     own: Peer,
@@ -38,54 +46,57 @@
 }
 
 impl PartialView {
-    /// With `capacity` places, of which `swapped` go into a swap.
-    pub fn new(own: Peer, capacity: usize, swapped: usize) -> Self {
-        Self { own, entries: Vec::new(), capacity: capacity.max(2), shuffle_size: swapped.max(1) }
+    /// Creates an empty view of at most `capacity` entries, which exchanges `shuffle_size` entries in a shuffle.
+    pub fn new(own: Peer, capacity: usize, shuffle_size: usize) -> Self {
+        Self { own, entries: Vec::new(), capacity: capacity.max(2), shuffle_size: shuffle_size.max(1) }
     }
 
+    /// Returns the known peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
-        self.entries.iter().map(|sighting| &sighting.peer)
+        self.entries.iter().map(|entry| &entry.peer)
     }
 
-    /// A peer told of itself.
+    /// Adds a peer that has announced itself.
     pub fn add_peer(&mut self, peer: Peer) {
         self.merge(vec![PeerEntry { peer, age: 0 }], &[]);
     }
 
-    /// Begins a swap with the peer known longest, who is out of the view until it answers. `draw` gives a number below
-    /// its argument.
+    /// Starts a shuffle with the peer whose entry is oldest, and removes that entry until the peer answers. `draw` returns a
+    /// random number below its argument. Returns none if no peer is known.
     pub fn begin_shuffle(&mut self, mut draw: impl FnMut(usize) -> usize) -> Option<Shuffle> {
-        for sighting in &mut self.entries {
-            sighting.age += 1;
+        for entry in &mut self.entries {
+            entry.age += 1;
         }
-        // Among equals chance decides: otherwise two that refresh each other's ages would swap with each other only.
-        let age = self.entries.iter().map(|sighting| sighting.age).max()?;
+        // Ties are broken at random: otherwise two processes that keep renewing each other's entries would shuffle with each
+        // other only.
+        let age = self.entries.iter().map(|entry| entry.age).max()?;
         let oldest: Vec<usize> =
-            (0..self.entries.len()).filter(|place| self.entries[*place].age == age).collect();
-        let with = self.entries.swap_remove(oldest[draw(oldest.len()) % oldest.len()]).peer;
-        let mut offer = self.drawn(self.shuffle_size - 1, &mut draw);
+            (0..self.entries.len()).filter(|index| self.entries[*index].age == age).collect();
+        let target = self.entries.swap_remove(oldest[draw(oldest.len()) % oldest.len()]).peer;
+        let mut offer = self.draw_entries(self.shuffle_size - 1, &mut draw);
         offer.push(PeerEntry { peer: self.own.clone(), age: 0 });
-        Some(Shuffle { target: with, offer })
+        Some(Shuffle { target, offer })
     }
 
-    /// Another process's offer: takes it in and gives a part of the own view back.
+    /// Answers another process's offer: merges it and returns a part of this view.
     pub fn answer_shuffle(
         &mut self,
-        offered: Vec<PeerEntry>,
+        offer: Vec<PeerEntry>,
         mut draw: impl FnMut(usize) -> usize,
     ) -> Vec<PeerEntry> {
-        let given = self.drawn(self.shuffle_size, &mut draw);
-        self.merge(offered, &given);
-        given
+        let sent = self.draw_entries(self.shuffle_size, &mut draw);
+        self.merge(offer, &sent);
+        sent
     }
 
-    /// The answer to a swap that was begun.
-    pub fn finish_shuffle(&mut self, swap: Shuffle, mut received: Vec<PeerEntry>) {
-        received.push(PeerEntry { peer: swap.target, age: 0 });
-        self.merge(received, &swap.offer);
+    /// Merges the answer to a shuffle that this process started.
+    pub fn finish_shuffle(&mut self, shuffle: Shuffle, mut received: Vec<PeerEntry>) {
+        received.push(PeerEntry { peer: shuffle.target, age: 0 });
+        self.merge(received, &shuffle.offer);
     }
 
-    fn drawn(&self, count: usize, draw: &mut impl FnMut(usize) -> usize) -> Vec<PeerEntry> {
+    /// Draws up to `count` distinct entries.
+    fn draw_entries(&self, count: usize, draw: &mut impl FnMut(usize) -> usize) -> Vec<PeerEntry> {
         let mut left: Vec<&PeerEntry> = self.entries.iter().collect();
         let mut drawn = Vec::new();
         while drawn.len() < count && !left.is_empty() {
@@ -94,29 +105,31 @@
         drawn
     }
 
-    /// Takes sightings in; where there is no room, what was given away goes first, then what is oldest.
-    fn merge(&mut self, sightings: Vec<PeerEntry>, given: &[PeerEntry]) {
-        for sighting in sightings {
-            if sighting.peer.address == self.own.address {
+    /// Merges entries, keeping the younger one of each peer. Above the capacity, entries that were sent away are evicted first,
+    /// then the oldest.
+    fn merge(&mut self, entries: Vec<PeerEntry>, sent: &[PeerEntry]) {
+        for entry in entries {
+            if entry.peer.address == self.own.address {
                 continue;
             }
-            match self.entries.iter_mut().find(|known| known.peer.address == sighting.peer.address) {
-                Some(known) if known.age > sighting.age => *known = sighting,
+            match self.entries.iter_mut().find(|known| known.peer.address == entry.peer.address) {
+                Some(known) if known.age > entry.age => *known = entry,
                 Some(_) => {}
-                None => self.entries.push(sighting),
+                None => self.entries.push(entry),
             }
         }
-        self.make_room(given);
+        self.evict_surplus(sent);
     }
 
-    fn make_room(&mut self, given: &[PeerEntry]) {
+    /// Evicts entries down to the capacity: entries of the own zone if they exceed half of it, else entries of other zones.
+    fn evict_surplus(&mut self, sent: &[PeerEntry]) {
         while self.entries.len() > self.capacity {
-            let near = self.entries.iter().filter(|known| known.peer.zone == self.own.zone).count();
-            let drop_near = near > self.capacity / 2;
-            let worst = (0..self.entries.len()).max_by_key(|place| {
-                let known = &self.entries[*place];
-                let was_given = given.iter().any(|gone| gone.peer.address == known.peer.address);
-                ((known.peer.zone == self.own.zone) == drop_near, was_given, known.age)
+            let own_zone = self.entries.iter().filter(|known| known.peer.zone == self.own.zone).count();
+            let evict_own_zone = own_zone > self.capacity / 2;
+            let worst = (0..self.entries.len()).max_by_key(|index| {
+                let known = &self.entries[*index];
+                let was_sent = sent.iter().any(|sent| sent.peer.address == known.peer.address);
+                ((known.peer.zone == self.own.zone) == evict_own_zone, was_sent, known.age)
             });
             let Some(worst) = worst else { return };
             self.entries.swap_remove(worst);
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -1,52 +1,55 @@
-//! How long the machines of the core wait for each other.
+//! Intervals and timeouts of the core's protocols.
 
 use std::time::Duration;
 
-/// How long things take and are waited for.
+/// Intervals and timeouts of a [`crate::Coordinator`].
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
+    /// Interval between ping rounds.
     pub ping_interval: Duration,
-    /// A voter that has not answered for so long is taken for down.
+    /// A voter that has not answered for this long is suspected to be down and leaves the chain.
     pub suspect_after: Duration,
-    /// And for so long, for lost: another may take its place.
+    /// A voter that has not answered for this long counts as lost: another machine may replace it.
     pub replace_after: Duration,
+    /// Interval at which an attempt repeats requests that were not answered.
     pub resend_interval: Duration,
-    /// A view that is sealed, with nothing heard for so long of an attempt to end it, is taken up by whoever waits.
+    /// After a sealed view has seen no message of an attempt to end it for this long, any voter may start one.
     pub sealed_view_timeout: Duration,
-    /// Links that do not hold the version by then are left out, if there are enough others.
+    /// Members that have not made the start version durable by then are left out of the chain, if enough others have.
     pub persist_grace_period: Duration,
-    /// An attempt that has not come to an end by then is begun anew.
+    /// An attempt that stays in the prepare or accept phase for longer is abandoned.
     pub attempt_timeout: Duration,
-    /// The same while the links fetch what they lack.
+    /// An attempt that stays in the persist phase for longer, while members fetch the start version, is abandoned.
     pub persist_timeout: Duration,
-    /// Between the turns of those who may propose.
+    /// Delay between the turns of successive voters that may propose, to avoid duelling proposers.
     pub takeover_stagger: Duration,
+    /// Interval between the catch-up requests of a learner.
     pub catch_up_interval: Duration,
-    /// A machine that wants to join must have asked within this time.
+    /// A machine counts as a joiner for this long after its last catch-up request.
     pub join_request_ttl: Duration,
-    /// The first view is formed of fewer voters than wanted once so much time has passed.
+    /// After this long without enough machines, the first view is formed with fewer voters than configured.
     pub bootstrap_grace_period: Duration,
-    /// Bytes for copying are kept so long after the last question.
+    /// A snapshot kept for learners is dropped this long after the last request for it.
     pub snapshot_idle_timeout: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
-        let ms = Duration::from_millis;
+        let millis = Duration::from_millis;
         Self {
-            ping_interval: ms(200),
-            suspect_after: ms(1_000),
-            replace_after: ms(2_500),
-            resend_interval: ms(250),
-            sealed_view_timeout: ms(900),
-            persist_grace_period: ms(500),
-            attempt_timeout: ms(1_200),
-            persist_timeout: ms(8_000),
-            takeover_stagger: ms(200),
-            catch_up_interval: ms(200),
-            join_request_ttl: ms(1_500),
-            bootstrap_grace_period: ms(2_500),
-            snapshot_idle_timeout: ms(5_000),
+            ping_interval: millis(200),
+            suspect_after: millis(1_000),
+            replace_after: millis(2_500),
+            resend_interval: millis(250),
+            sealed_view_timeout: millis(900),
+            persist_grace_period: millis(500),
+            attempt_timeout: millis(1_200),
+            persist_timeout: millis(8_000),
+            takeover_stagger: millis(200),
+            catch_up_interval: millis(200),
+            join_request_ttl: millis(1_500),
+            bootstrap_grace_period: millis(2_500),
+            snapshot_idle_timeout: millis(5_000),
         }
     }
 }
