--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -5,7 +5,7 @@
 
 use fennelgauge_batch::{Command, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{EndDecision, ReadOperation, ReadQuery, ReadStep, Role, SubmissionDecision};
+use fennelgauge_replication::{CancelDecision, ReadOperation, ReadQuery, ReadStep, Role, SubmissionDecision};
 use fennelgauge_wire::StoreReply;
 use tokio::time::{timeout_at, Instant};
 
@@ -66,12 +66,12 @@
     ) -> StoreReply {
         let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
-        let ending = self.replica(group).borrow().decide_end(role.as_ref(), tenant, &job);
+        let ending = self.replica(group).borrow().decide_cancellation(role.as_ref(), tenant, &job);
         let entry = match ending {
-            EndDecision::NotWritable => return StoreReply::NotAccepted,
-            EndDecision::NotFound => return self.not_here(&view, group, &job).await,
-            EndDecision::AlreadyEnded(entry) => entry,
-            EndDecision::End => {
+            CancelDecision::NotWritable => return StoreReply::NotAccepted,
+            CancelDecision::NotFound => return self.not_here(&view, group, &job).await,
+            CancelDecision::AlreadyCancelled(entry) => entry,
+            CancelDecision::Cancel => {
                 let entry = self.change(&view, group, Command::Cancel { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -1,55 +1,61 @@
-//! What a head does about a change that a client asks for, and what becomes of its entry.
+//! Decisions of a head about changes that clients request, and the status of the entries made for them.
 
 use fennelgauge_batch::{Admission, Job};
 
 use crate::{EntryPosition, Replica, Role};
 
-/// What a head does about a batch job that is submitted.
+/// How a head handles the submission of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionDecision {
     /// This store may not change the group now.
     NotWritable,
+    /// The job would exceed the tenant's limit of queued tokens.
     OverQuota,
-    /// A batch job of that name was given up.
+    /// A batch job of that name was given up with its group; the name must not be used again.
     GivenUp,
-    /// It is there: taken once this entry is committed.
+    /// The job exists; it is certain to be accepted once the entry at this position is committed.
     AlreadyAccepted(EntryPosition),
+    /// The job is new: append an entry for it.
     Accept,
 }
 
-/// What a head does about the end of a batch job.
+/// How a head handles a request to cancel a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndDecision {
+pub enum CancelDecision {
     /// This store may not change the group now.
     NotWritable,
-    /// It is not here; that is certain once the other links confirm the view.
+    /// The tenant has no such job; that is certain once the other links have confirmed the view.
     NotFound,
-    /// It was ended: that counts once this entry is committed.
-    AlreadyEnded(EntryPosition),
-    End,
+    /// The job was cancelled before; that is certain once the entry at this position is committed.
+    AlreadyCancelled(EntryPosition),
+    /// Append an entry that cancels the job.
+    Cancel,
 }
 
-/// What has become of an entry.
+/// The status of an entry that this store made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryStatus {
+    /// Neither committed nor discarded so far.
     Pending,
+    /// The entry is committed.
     Committed,
-    /// A copy has taken it away.
+    /// A snapshot that does not have the entry has replaced it.
     Discarded,
 }
 
 impl Replica {
-    /// Whether this store, in that role, may change the group.
+    /// Whether this store, in this role, may change the group: it is the head of an open group, and its state reflects the
+    /// group's last recreation.
     pub fn accepts_writes(&self, role: Option<&Role>) -> bool {
         role.is_some_and(|role| role.accepts_writes() && self.reflects_recreation(role))
     }
 
-    /// What to do about a batch job that is submitted.
-    pub fn decide_submission(&self, role: Option<&Role>, job: &Job, most_queued: u64) -> SubmissionDecision {
+    /// Decides how to handle the submission of a batch job, given the tenant's limit of queued tokens.
+    pub fn decide_submission(&self, role: Option<&Role>, job: &Job, max_queued: u64) -> SubmissionDecision {
         if !self.accepts_writes(role) {
             return SubmissionDecision::NotWritable;
         }
-        match self.state().check_admission(job, most_queued) {
+        match self.state().check_admission(job, max_queued) {
             Admission::OverQuota { .. } => SubmissionDecision::OverQuota,
             Admission::GivenUp => SubmissionDecision::GivenUp,
             Admission::AlreadyAccepted => SubmissionDecision::AlreadyAccepted(self.position()),
@@ -57,19 +63,19 @@
         }
     }
 
-    /// What to do about the end of a tenant's batch job.
-    pub fn decide_end(&self, role: Option<&Role>, tenant: &str, job: &str) -> EndDecision {
+    /// Decides how to handle a request to cancel a tenant's batch job.
+    pub fn decide_cancellation(&self, role: Option<&Role>, tenant: &str, job: &str) -> CancelDecision {
         if !self.accepts_writes(role) {
-            return EndDecision::NotWritable;
+            return CancelDecision::NotWritable;
         }
         match self.state().job(job).filter(|state| state.job.tenant == tenant).map(|state| state.cancelled) {
-            None => EndDecision::NotFound,
-            Some(true) => EndDecision::AlreadyEnded(self.position()),
-            Some(false) => EndDecision::End,
+            None => CancelDecision::NotFound,
+            Some(true) => CancelDecision::AlreadyCancelled(self.position()),
+            Some(false) => CancelDecision::Cancel,
         }
     }
 
-    /// What has become of an entry that was made here.
+    /// Returns the status of an entry that was made here.
     pub fn entry_status(&self, entry: EntryPosition) -> EntryStatus {
         match () {
             () if self.is_committed(entry) => EntryStatus::Committed,
--- a/crates/replication/src/confirmation.rs
+++ b/crates/replication/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! A question to all other links of a chain: whether the view still stands, and how far the head is.
+//! Confirmation by all other links of a chain that the view is still current, with the head's position.
 
 use std::collections::BTreeSet;
 
@@ -6,29 +6,32 @@
 
 use crate::{EntryPosition, Replica, Role};
 
-/// One question, while answers come in.
+/// A confirmation request to all other links, and the answers so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
     role: Role,
+    /// The head, unless this store is the head itself.
     head: Option<StoreNumber>,
+    /// Links that have not answered.
     awaited_links: BTreeSet<StoreNumber>,
     head_position: Option<EntryPosition>,
     rejected: bool,
 }
 
-/// What a question has come to.
+/// The status of a confirmation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfirmationStatus {
-    /// Answers are missing, this store is not level in the view, or it does not have yet what the head had.
+    /// Answers are missing, this store is not caught up in the view, or the entries that the head had are not durable here.
     Pending,
-    /// This store has, on its disk, all that was committed when the question was asked, and nothing that a link before it lacks.
+    /// Everything that was committed when the request was made is durable here, and this store has nothing that a link before
+    /// it lacks.
     Confirmed,
-    /// The view no longer stands at some link.
+    /// Some link is in another view.
     Rejected,
 }
 
 impl Confirmation {
-    /// A question by a link in that role.
+    /// Starts a confirmation request of a link in this role.
     pub fn new(role: &Role) -> Self {
         Self {
             role: role.clone(),
@@ -39,7 +42,7 @@
         }
     }
 
-    /// A link's answer: how far it is in the view of the question, or none if it is in another.
+    /// Records a link's answer: its position in the view of the request, or none if it is in another view.
     pub fn record_answer(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
         let Some(position) = position else {
             self.rejected = true;
@@ -51,7 +54,7 @@
         self.awaited_links.remove(&link);
     }
 
-    /// What the question has come to for the store that asked.
+    /// Returns the status of the request, given the state of the store that made it.
     pub fn status(&self, replica: &Replica) -> ConfirmationStatus {
         if self.rejected {
             return ConfirmationStatus::Rejected;
@@ -59,11 +62,11 @@
         if !self.awaited_links.is_empty() || !replica.is_caught_up(&self.role) {
             return ConfirmationStatus::Pending;
         }
-        let asked = match self.head {
+        let required = match self.head {
             Some(_) => self.head_position.unwrap_or_default(),
             None => replica.position(),
         };
-        match replica.is_durable(asked) {
+        match replica.is_durable(required) {
             true => ConfirmationStatus::Confirmed,
             false => ConfirmationStatus::Pending,
         }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,43 +1,51 @@
-//! What moves along a chain.
+//! Log entries, batches of them and snapshots, as they are sent along a chain.
 
 use fennelgauge_coordination::GroupNumber;
 use serde::{Deserialize, Serialize};
 
-/// A place in the sequence of a group's entries. Two entries of the same place and epoch are the same entry: an epoch has one
-/// head, and a head sends only what is on its disk.
+/// The position of an entry in a group's log. Entries with the same sequence number and epoch are the same entry: each epoch
+/// has one head, and a head sends only entries that are durable on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryPosition {
+    /// Sequence number of the entry, from 1 without gaps; 0 stands before the first entry.
     pub sequence: u64,
-    /// Of the stores' view in which the head made the entry.
+    /// Epoch of the stores' view in which the head made the entry.
     pub epoch: u64,
 }
 
-/// One change of a group.
+/// An entry of a group's log: one change of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// The group that it changes.
     pub group: GroupNumber,
+    /// Its position in the log.
     pub position: EntryPosition,
-    /// A batch command in bincode.
+    /// The batch command, encoded in bincode.
     #[serde(with = "serde_bytes")]
     pub command: Vec<u8>,
 }
 
-/// Entries of one group in order. Whoever takes them has the entry at `after` and is at `end` then.
+/// Consecutive entries of one group. A replica that has the entry at `after` is at `end` once it has appended them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EntryBatch {
+    /// The group of the entries.
     pub group: GroupNumber,
+    /// Position of the entry before the first one.
     pub after: EntryPosition,
+    /// The entries, in order; empty if only the position is announced.
     pub entries: Vec<Entry>,
+    /// Position of the last entry, or `after` if there is none.
     pub end: EntryPosition,
 }
 
-/// A group as a whole.
+/// A snapshot of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupSnapshot {
-    /// The first place of each epoch, oldest first.
+    /// Position of the first entry of each epoch, oldest first, as far as it is remembered.
     pub history: Vec<EntryPosition>,
+    /// Position of the newest entry that the state includes.
     pub position: EntryPosition,
-    /// The group's state in bincode.
+    /// The group's state, encoded in bincode.
     #[serde(with = "serde_bytes")]
     pub state: Vec<u8>,
 }
--- a/crates/replication/src/entry_log.rs
+++ b/crates/replication/src/entry_log.rs
@@ -1,42 +1,44 @@
-//! The order of a group's entries as one store has it: which place was made in which view, and the newest entries themselves.
+//! The log of a group on one store: the newest entries, and for older ones only which position belongs to which epoch.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, EntryPosition};
 
-/// Entries kept to bring others level without a whole copy.
+/// Number of entries kept so that other stores can catch up without a snapshot.
 const MAX_RECENT_ENTRIES: usize = 512;
+/// Total length of the commands of the kept entries.
 const MAX_RECENT_BYTES: usize = 1 << 20;
-/// Epochs whose first place is remembered.
+/// Number of epochs whose first position is remembered.
 const MAX_HISTORY_EPOCHS: usize = 64;
 
-/// The entries of a group, the older ones by their places only.
+/// The log of a group. Of older entries only the positions are known, from the first position of each epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EntryLog {
+    /// Position of the newest entry.
     position: EntryPosition,
-    /// The first place of each epoch, oldest first.
+    /// Position of the first entry of each epoch, oldest first.
     history: Vec<EntryPosition>,
     recent: VecDeque<Entry>,
     recent_bytes: usize,
 }
 
 impl EntryLog {
-    /// Begins where a copy stands.
+    /// Creates the log of a replica that was restored from a snapshot.
     pub fn from_snapshot(position: EntryPosition, history: Vec<EntryPosition>) -> Self {
         Self { position, history, ..Self::default() }
     }
 
-    /// The place of the newest entry.
+    /// Returns the position of the newest entry.
     pub fn position(&self) -> EntryPosition {
         self.position
     }
 
-    /// The first place of each epoch, oldest first.
+    /// Returns the position of the first entry of each remembered epoch, oldest first.
     pub fn history(&self) -> &[EntryPosition] {
         &self.history
     }
 
-    /// Adds the entry that follows the newest one.
+    /// Appends an entry, which must follow the newest one.
     pub fn push(&mut self, entry: Entry) {
         if self.history.last().is_none_or(|last| last.epoch != entry.position.epoch) {
             self.history.push(entry.position);
@@ -53,21 +55,22 @@
         }
     }
 
-    /// Whether the entry of that place and epoch is among these.
+    /// Whether the log contains the entry at this position.
     pub fn contains(&self, position: EntryPosition) -> bool {
         self.position_of(position.sequence) == Some(position)
     }
 
-    /// Whether these certainly do not have that entry: there are fewer, or another stands in its place.
+    /// Whether the log certainly does not contain the entry at this position: it is shorter, or has another entry there.
     pub fn lacks(&self, position: EntryPosition) -> bool {
-        let remembered = self.history.first().is_some_and(|first| first.sequence <= position.sequence);
+        let is_remembered = self.history.first().is_some_and(|first| first.sequence <= position.sequence);
         match self.position_of(position.sequence) {
             Some(here) => here != position,
-            None => remembered || self.history.is_empty(),
+            None => is_remembered || self.history.is_empty(),
         }
     }
 
-    /// The place of the entry with that number; none where there is none or its epoch is no longer remembered.
+    /// Returns the position of the entry with a sequence number; none if there is no such entry or its epoch is no longer
+    /// remembered.
     pub fn position_of(&self, sequence: u64) -> Option<EntryPosition> {
         if sequence > self.position.sequence {
             return None;
@@ -79,7 +82,7 @@
         Some(EntryPosition { sequence, epoch: first.epoch })
     }
 
-    /// The entries after a place that is among these; none if they are no longer all kept.
+    /// Returns the entries after a position; none if the log does not contain it or no longer keeps all entries after it.
     pub fn after(&self, position: EntryPosition) -> Option<Vec<Entry>> {
         if !self.contains(position) {
             return None;
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,10 +1,11 @@
-//! How a group of batch jobs is kept on a chain of stores. State machines without I/O, clock or chance: the store does
-//! their writes and sends, the simulator plays the same code.
+//! Replication of a group of batch jobs on a chain of stores, as state machines without I/O, clock or randomness: the store
+//! does their writes and sends, and the simulation runs the same code.
 //!
-//! **What a link of a chain guarantees.** In each view, a link takes part only once its predecessor has told it where the
-//! chain stands and it stands exactly there: it is *level* in that view. All that a level link has, every link before it has on
-//! its disk. So what a level tail shows is on every link of the chain, and what is committed is, too. A store counts as one
-//! that holds a group only after it was level as a link; until then it is *joining* ([`fennelgauge_coordination::Group`]).
+//! **Guarantees of a link.** In each view, a link takes part only once its predecessor has told it the chain's position and
+//! its own log ends exactly there: it is *caught up* in that view. Everything that a caught-up link has is durable on every
+//! link before it. So whatever a caught-up tail shows to a reader is on every link of the chain, and so is whatever is
+//! committed. A store counts as a holder of a group only after it was caught up as a link; until then it is *joining* (see
+//! [`fennelgauge_coordination::Group`]).
 
 mod change;
 mod confirmation;
@@ -17,7 +18,7 @@
 mod replica;
 mod role;
 
-pub use change::{EndDecision, EntryStatus, SubmissionDecision};
+pub use change::{CancelDecision, EntryStatus, SubmissionDecision};
 pub use confirmation::{Confirmation, ConfirmationStatus};
 pub use entry::{Entry, EntryBatch, EntryPosition, GroupSnapshot};
 pub use entry_log::EntryLog;
--- a/crates/replication/src/planted.rs
+++ b/crates/replication/src/planted.rs
@@ -1,32 +1,33 @@
-//! Mistakes that are switched on to see that the judge finds them: each is what an earlier text did, or would be easy to do.
+//! Bugs that the simulation plants to check that its checker detects them. Each is a fault of an earlier version of the code,
+//! or one that is easy to make.
 
 use strum::EnumIter;
 
-/// A mistake of one store.
+/// A bug in the replica of a group on one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EnumIter)]
 pub enum ReplicaBug {
-    /// A tail that has more than its predecessor answers.
+    /// A tail answers reads although it is not caught up, and may have entries that its predecessor lacks.
     AnswersWithoutLevel,
-    /// An entry is taken if its number follows, whatever stands before it.
+    /// An entry is appended if its sequence number follows, whatever the entry before it is.
     TakesAfterAnything,
-    /// A link passes entries on and brings others level before it is level itself.
+    /// A link forwards entries and repairs its successor before it is caught up itself.
     PassesOnUnlevel,
-    /// The marks of what is on the disk and committed are not reset by a copy.
+    /// The durable and committed positions are not reset when a snapshot replaces the log.
     MarksOutliveCopy,
-    /// What was made here is journalled though a copy has replaced it.
+    /// Entries made here are written to the journal although a snapshot has replaced them.
     JournalsWhatIsGone,
-    /// A copy replaces what a link has, though it is level in that view or a later one.
+    /// A snapshot replaces the entries of a link that is caught up in that view or a later one.
     CopyReplacesLevel,
-    /// A tail answers with what is not on its disk yet.
+    /// A tail answers with entries that are not durable on its disk yet.
     AnswersUnsynced,
-    /// A link is level if it has the batch's end, though it has more.
+    /// A link counts as caught up if it has the batch's last entry, even if it has further entries.
     LevelWithMore,
-    /// What reached all links counts as committed though the group is closed.
+    /// Entries that reached all links count as committed although the group is closed.
     CommitsWhileClosed,
-    /// Who was level once is level for ever.
+    /// A replica that was caught up in some view counts as caught up in all later ones.
     LevelForEver,
-    /// A learner's batch is taken though the store is level.
+    /// A batch that was requested as a learner is appended although the store is caught up.
     LearnsThoughLevel,
-    /// A group that was given up goes on with what it held.
+    /// A group that was given up keeps its former content.
     KeepsWhatWasGivenUp,
 }
--- a/crates/replication/src/reading.rs
+++ b/crates/replication/src/reading.rs
@@ -1,5 +1,5 @@
-//! How a tail answers a reader: all other links confirm the view, it waits for something to show, and shows only what is on its
-//! disk, in the same view.
+//! Reads at the tail: all other links confirm the view, the tail waits for results if there are none yet, and it answers only
+//! with entries that are durable on its disk, in the same view.
 
 use std::time::Duration;
 
@@ -8,82 +8,88 @@
 
 use crate::{Confirmation, ConfirmationStatus, EntryPosition, Replica, Role};
 
-/// The other links have to confirm the view within this time.
+/// Time within which the other links must confirm the view.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(900);
-/// What is shown has to be on the disk within this time.
+/// Time within which the results to return must become durable.
 const DURABILITY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What a reader asks for.
+/// A request to read the results of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReadQuery {
+    /// Tenant that owns the job.
     pub tenant: String,
+    /// Name of the job.
     pub job: String,
-    /// The first position.
+    /// Index of the first result to return.
     pub start: u32,
 }
 
-/// One reading. Times are since it began.
+/// A read in progress. All times are measured from its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReadOperation {
     role: Role,
     query: ReadQuery,
-    /// The answer is held back for so long for a result to come.
+    /// How long to wait for a result before an empty page is returned.
     long_poll: Duration,
     stage: Stage,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
+    /// The other links are confirming the view.
     Confirming(Confirmation),
+    /// Waits until there is a result, the job is complete, or the long poll ends.
     AwaitingResults,
+    /// Waits until the page's position is durable on this disk.
     AwaitingDurability { page: Page, position: EntryPosition, deadline: Duration },
 }
 
-/// What a reading has come to.
+/// What a read needs next, or its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadStep {
-    /// Look again when something has changed, and then.
+    /// Poll again when the replica has changed, and at the latest at this time.
     Wait(Duration),
-    /// The group at that place.
+    /// A page of results, as of that position of the group's log.
     Page(Page, EntryPosition),
+    /// The tenant has no such job.
     NotFound,
-    /// It was given up with its group, or never was.
+    /// The job was given up with its group, or never existed.
     GivenUp,
-    /// Another store may know.
+    /// This store cannot prove that its answer is current; the reader should ask again, perhaps another store.
     Undetermined,
 }
 
 impl ReadOperation {
-    /// Begins a reading in that role; none if it does not answer readers.
+    /// Starts a read; none if the role does not answer reads.
     pub fn new(role: Option<Role>, query: ReadQuery, hold: Duration) -> Option<Self> {
         let role = role.filter(Role::serves_reads)?;
-        Some(Self::new_unchecked(role, query, hold))
+        Some(Self::without_role_check(role, query, hold))
     }
 
-    /// Begins a reading whatever the role.
-    pub fn new_unchecked(role: Role, query: ReadQuery, hold: Duration) -> Self {
+    /// Starts a read without checking the role; for planted bugs and tests.
+    pub fn without_role_check(role: Role, query: ReadQuery, hold: Duration) -> Self {
         let stage = Stage::Confirming(Confirmation::new(&role));
         Self { role, query, long_poll: hold, stage }
     }
 
-    /// The view that it is for.
+    /// Returns the epoch of the view that the read belongs to.
     pub fn epoch(&self) -> u64 {
         self.role.epoch
     }
 
-    /// The links whose word is needed.
+    /// Returns the links that must confirm the view.
     pub fn confirming_links(&self) -> &[StoreNumber] {
         &self.role.others
     }
 
-    /// A link's answer: how far it is in the view of this reading, or none if it is in another.
+    /// Records a link's answer: its position in the view of the read, or none if it is in another view.
     pub fn record_answer(&mut self, link: StoreNumber, position: Option<EntryPosition>) {
         if let Stage::Confirming(confirmation) = &mut self.stage {
             confirmation.record_answer(link, position);
         }
     }
 
-    /// Looks at where it is. `epoch` is that of the newest view known here.
+    /// Advances the read as far as possible. `epoch` is that of the newest view known here, `now` the time since the start.
     pub fn poll(&mut self, replica: &mut Replica, epoch: u64, now: Duration) -> ReadStep {
         loop {
             if epoch != self.role.epoch {
@@ -100,7 +106,7 @@
                     }
                 },
                 Stage::AwaitingResults => match self.page(replica) {
-                    Err(missing) => return missing,
+                    Err(answer) => return answer,
                     Ok(page) if page.results.is_empty() && !page.is_complete && now < self.long_poll => {
                         return ReadStep::Wait(self.long_poll);
                     }
@@ -127,6 +133,7 @@
         }
     }
 
+    /// Returns the page to answer with, or the final answer if the job is not here.
     fn page(&self, replica: &Replica) -> Result<Page, ReadStep> {
         let ReadQuery { tenant, job, start } = &self.query;
         let state = replica.state();
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,5 +1,5 @@
-//! One group as a store holds it: its entries in order, its state, how far it is on disk and along the chain, and the view
-//! in which it is level.
+//! The replica of one group on a store: its log, its state, how far the log is durable and committed, and the newest view in
+//! which the replica was caught up.
 
 use fennelgauge_batch::{Command, GroupState};
 use fennelgauge_coordination::GroupNumber;
@@ -8,58 +8,59 @@
 use crate::planted::ReplicaBug;
 use crate::{Entry, EntryBatch, EntryLog, EntryPosition, GroupSnapshot, Role};
 
-/// A group on one store.
+/// The replica of a group on one store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
     log: EntryLog,
     state: GroupState,
-    /// Up to this place it is on this disk.
+    /// Sequence number up to which the log is durable on this disk.
     durable_sequence: u64,
-    /// Up to this place every link had it in some view.
+    /// Sequence number up to which every link had the log in some view in which the group was open.
     committed_sequence: u64,
-    /// The newest view in which this store stood exactly where its predecessor stood; 0 where there is none in this life.
+    /// Epoch of the newest view in which this replica's log ended exactly where its predecessor's did; 0 if there is none since
+    /// the process started.
     caught_up_epoch: u64,
-    /// The newest place that a reader was shown here.
+    /// Newest position that a reader has been shown here.
     last_read: EntryPosition,
     planted: Option<ReplicaBug>,
 }
 
-/// What became of a batch from the predecessor.
+/// The result of appending a batch from the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppendResult {
-    /// New here: to be written to the disk.
+    /// The entries that are new here and must be written to the disk.
     pub appended: Vec<Entry>,
-    /// This store is level in the view and has the batch's end.
+    /// Whether this store is caught up in the view and has the batch's last entry.
     pub is_caught_up: bool,
 }
 
-/// What another store lacks.
+/// What another store needs in order to catch up with this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatchUp {
-    /// It takes these entries.
+    /// It appends these entries.
     Entries(EntryBatch),
-    /// It has others, or lacks too many: it becomes a copy.
+    /// It has other entries, or lacks more than are kept here: it must install a snapshot.
     Snapshot,
 }
 
-/// What became of a copy.
+/// The result of installing a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstallResult {
-    /// The group is that copy now, from memory on: to be written to the disk.
+    /// The replica has the snapshot's content now, in memory; the snapshot must be written to the disk.
     Installed {
-        /// A place that a reader was shown here and that the copy lacks: a fault.
+        /// A position that a reader was shown here and that the snapshot lacks, which indicates a fault of the program.
         lost_read: Option<EntryPosition>,
     },
-    /// It cannot be read: run one version of the programs everywhere.
+    /// The snapshot cannot be decoded: run the same version of all programs.
     Corrupt,
-    /// This store is level, and the copy lacks something that is here: it was overtaken.
+    /// The snapshot is older than this replica: it lacks entries of a caught-up replica, or predates the group's recreation.
     Outdated,
-    /// This store follows nobody in that view.
+    /// This store has no predecessor in that view.
     NotInChain,
 }
 
 impl Replica {
-    /// Plants a mistake, to see that it is found.
+    /// Enables a planted bug, to check that the tests detect it.
     #[cfg(feature = "planted-bugs")]
     pub fn plant(&mut self, bug: ReplicaBug) {
         self.planted = Some(bug);
@@ -69,54 +70,54 @@
         self.planted == Some(bug)
     }
 
-    /// The place of the newest entry.
+    /// Returns the position of the newest entry.
     pub fn position(&self) -> EntryPosition {
         self.log.position()
     }
 
-    /// The batch jobs of the group.
+    /// Returns the state of the group: its batch jobs.
     pub fn state(&self) -> &GroupState {
         &self.state
     }
 
-    /// Whether the entry of that place and epoch is here.
+    /// Whether the entry at this position is here.
     pub fn contains(&self, position: EntryPosition) -> bool {
         self.log.contains(position)
     }
 
-    /// Whether the entry of that place and epoch is here, on the disk.
+    /// Whether the entry at this position is here and durable.
     pub fn is_durable(&self, position: EntryPosition) -> bool {
-        let on_disk = self.durable_sequence >= position.sequence || self.has(ReplicaBug::AnswersUnsynced);
-        on_disk && self.contains(position)
+        let is_durable = self.durable_sequence >= position.sequence || self.has(ReplicaBug::AnswersUnsynced);
+        is_durable && self.contains(position)
     }
 
-    /// Whether the entry of that place and epoch is here and was committed in some view.
+    /// Whether the entry at this position is here and was committed in some view.
     pub fn is_committed(&self, position: EntryPosition) -> bool {
         self.committed_sequence >= position.sequence && self.contains(position)
     }
 
-    /// Whether entries are here that are not known to be committed.
+    /// Whether there are entries that are not known to be committed.
     pub fn has_uncommitted(&self) -> bool {
         self.committed_sequence < self.position().sequence
     }
 
-    /// The newest view in which an entry was made that is here: a store must not take part in an earlier one again.
+    /// Returns the epoch of the newest entry; a store must not take part in an earlier view again.
     pub fn newest_epoch(&self) -> u64 {
         self.position().epoch
     }
 
-    /// Whether nothing is known of what is committed, as after a restart.
+    /// Whether there are entries but none is known to be committed, as after a restart.
     pub fn commit_position_unknown(&self) -> bool {
         self.committed_sequence == 0 && self.position().sequence > 0
     }
 
-    /// Whether this store, as a link in that role, has nothing that a link before it lacks: it stood exactly where its
-    /// predecessor stood since the chain up to here is as it is, or is the head.
+    /// Whether this store, as a link in this role, has nothing that a link before it lacks: it is the head, or its log ended
+    /// exactly where its predecessor's did at some time since the chain up to here last changed.
     pub fn is_caught_up(&self, role: &Role) -> bool {
         self.was_caught_up_since(role.caught_up_since) || self.has(ReplicaBug::AnswersWithoutLevel)
     }
 
-    /// Whether this store may pass entries on and bring its successor level.
+    /// Whether this store may forward entries and repair its successor.
     pub fn may_forward(&self, role: &Role) -> bool {
         self.is_caught_up(role) || self.has(ReplicaBug::PassesOnUnlevel)
     }
@@ -125,14 +126,15 @@
         self.caught_up_epoch > 0 && (self.caught_up_epoch >= epoch || self.has(ReplicaBug::LevelForEver))
     }
 
-    /// Whether what is here is of the group as it was begun last.
+    /// Whether the state here includes the group's last recreation.
     pub fn reflects_recreation(&self, role: &Role) -> bool {
         self.state.recreated_in_epoch() >= role.recreated_in_epoch
             || self.has(ReplicaBug::KeepsWhatWasGivenUp)
     }
 
-    /// This store is the head in that role: it stands where the chain stands. Where the group was given up and still is here as it was,
-    /// it is begun anew; then gives the copy to be written to the disk before anything else of the group.
+    /// Takes over as the head, if this is the head's role: the head is caught up by definition. If the group was given up and the
+    /// state here predates that, recreates the group empty, and returns the snapshot that must be written to the disk before
+    /// anything else of the group.
     pub fn become_head(&mut self, group: GroupNumber, role: &Role) -> Option<GroupSnapshot> {
         if !role.is_head() {
             return None;
@@ -143,13 +145,13 @@
         }
         let mut given_up = self.state.known_job_ids();
         given_up.extend(role.given_up_jobs.iter().cloned());
-        let begin = Command::Recreate { epoch: role.recreated_in_epoch, given_up_jobs: given_up };
+        let recreate = Command::Recreate { epoch: role.recreated_in_epoch, given_up_jobs: given_up };
         *self = Self { planted: self.planted, ..Self::default() };
-        self.create_entry(group, role.epoch, begin);
+        self.create_entry(group, role.epoch, recreate);
         Some(self.snapshot())
     }
 
-    /// Makes a new entry as the head, in the view of `epoch`.
+    /// Makes and applies a new entry as the head, in the view of `epoch`.
     pub fn create_entry(&mut self, group: GroupNumber, epoch: u64, command: Command) -> Entry {
         self.caught_up_epoch = epoch;
         let position = EntryPosition { sequence: self.position().sequence + 1, epoch };
@@ -159,7 +161,7 @@
         entry
     }
 
-    /// Takes an entry that follows on the newest one here, as from the own disk; false if it does not, or cannot be read.
+    /// Restores an entry from the disk. Returns false if it does not follow the newest entry here or cannot be decoded.
     pub fn restore_entry(&mut self, entry: &Entry) -> bool {
         if self.contains(entry.position) {
             return true;
@@ -167,6 +169,7 @@
         entry.position.sequence == self.position().sequence + 1 && self.apply_entry(entry)
     }
 
+    /// Applies an entry and appends it to the log; false if its command cannot be decoded.
     fn apply_entry(&mut self, entry: &Entry) -> bool {
         let Ok(command) = decode::<Command>(&entry.command) else { return false };
         self.state.apply(command);
@@ -174,7 +177,8 @@
         true
     }
 
-    /// Takes a batch as a learner that asked in the view of `epoch`; gives what is new here, to be written to the disk.
+    /// Appends a batch that this store requested as a learner in the view of `epoch`, unless it has been caught up since that view.
+    /// Returns the entries that are new here and must be written to the disk.
     pub fn append_as_learner(&mut self, epoch: u64, batch: &EntryBatch) -> Vec<Entry> {
         match self.was_caught_up_since(epoch) && !self.has(ReplicaBug::LearnsThoughLevel) {
             true => Vec::new(),
@@ -182,11 +186,11 @@
         }
     }
 
-    /// Takes what this store lacks of a batch, from wherever it has the batch's beginning; nothing if it has other entries there.
+    /// Appends the entries of a batch that are missing here. Appends nothing if the entry before the batch is not here.
     fn append_batch(&mut self, batch: &EntryBatch) -> Vec<Entry> {
-        let mut taken = Vec::new();
+        let mut appended = Vec::new();
         if !self.contains(batch.after) && !self.has(ReplicaBug::TakesAfterAnything) {
-            return taken;
+            return appended;
         }
         for entry in &batch.entries {
             if self.contains(entry.position) {
@@ -195,33 +199,34 @@
             if entry.position.sequence != self.position().sequence + 1 || !self.apply_entry(entry) {
                 break;
             }
-            taken.push(entry.clone());
+            appended.push(entry.clone());
         }
-        taken
+        appended
     }
 
-    /// Takes a batch from the predecessor, which is level in the view of that role. Whoever then stands exactly at the batch's end
-    /// is level; whoever has more is not, and stays so until a copy takes that away.
+    /// Appends a batch from the predecessor, which is caught up in the view of this role. The replica is caught up if its log then
+    /// ends exactly at the batch's end. If it has further entries, it is not, until a snapshot replaces them.
     pub fn append_from_predecessor(&mut self, role: &Role, batch: &EntryBatch) -> AppendResult {
-        let taken = self.append_batch(batch);
-        let has_more = self.has(ReplicaBug::LevelWithMore) && self.contains(batch.end);
-        if self.position() == batch.end || has_more {
+        let appended = self.append_batch(batch);
+        let ignores_further = self.has(ReplicaBug::LevelWithMore) && self.contains(batch.end);
+        if self.position() == batch.end || ignores_further {
             self.caught_up_epoch = role.epoch;
         }
-        AppendResult { appended: taken, is_caught_up: self.is_caught_up(role) && self.contains(batch.end) }
+        AppendResult { appended, is_caught_up: self.is_caught_up(role) && self.contains(batch.end) }
     }
 
-    /// What a store at that place lacks.
-    pub fn catch_up_from(&self, group: GroupNumber, theirs: EntryPosition) -> CatchUp {
-        match self.log.after(theirs) {
+    /// Returns what a store at `other_position` needs in order to catch up.
+    pub fn catch_up_from(&self, group: GroupNumber, other_position: EntryPosition) -> CatchUp {
+        match self.log.after(other_position) {
             Some(entries) => {
-                CatchUp::Entries(EntryBatch { group, after: theirs, entries, end: self.position() })
+                CatchUp::Entries(EntryBatch { group, after: other_position, entries, end: self.position() })
             }
             None => CatchUp::Snapshot,
         }
     }
 
-    /// A batch of entries that were made here one after the other, without those that a copy has taken away since.
+    /// Returns a batch of consecutive entries that were made here, without those that a snapshot has since replaced; none if no
+    /// entry is left.
     pub fn batch_from(&self, group: GroupNumber, mut entries: Vec<Entry>) -> Option<EntryBatch> {
         entries.retain(|entry| self.contains(entry.position) || self.has(ReplicaBug::JournalsWhatIsGone));
         let (first, last) = (entries.first()?.position, entries.last()?.position);
@@ -229,7 +234,7 @@
         Some(EntryBatch { group, after, entries, end: last })
     }
 
-    /// The whole group.
+    /// Returns a snapshot of the group.
     pub fn snapshot(&self) -> GroupSnapshot {
         GroupSnapshot {
             history: self.log.history().to_vec(),
@@ -238,49 +243,52 @@
         }
     }
 
-    /// Becomes a copy of another store's group. A copy that lacks something of what is here is taken only if this store was not
-    /// level since the view of `level_since`: that of its role for a link, that of the question for a learner. One of a group as it was
-    /// before it was given up is never taken.
-    pub fn install_snapshot(&mut self, level_since: u64, copy: &GroupSnapshot) -> InstallResult {
-        let log = EntryLog::from_snapshot(copy.position, copy.history.clone());
-        let extends = log.contains(self.position());
-        let is_level = self.was_caught_up_since(level_since) && !self.has(ReplicaBug::CopyReplacesLevel);
-        if !extends && is_level {
+    /// Installs a snapshot of another store. A snapshot that lacks entries that are here is installed only if this replica has not
+    /// been caught up since the view of `caught_up_since`: that of its role for a link, that of the request for a learner. A
+    /// snapshot from before the group was given up is never installed.
+    pub fn install_snapshot(&mut self, caught_up_since: u64, snapshot: &GroupSnapshot) -> InstallResult {
+        let log = EntryLog::from_snapshot(snapshot.position, snapshot.history.clone());
+        let extends_log = log.contains(self.position());
+        let is_caught_up =
+            self.was_caught_up_since(caught_up_since) && !self.has(ReplicaBug::CopyReplacesLevel);
+        if !extends_log && is_caught_up {
             return InstallResult::Outdated;
         }
-        let Ok(state) = decode::<GroupState>(&copy.state) else { return InstallResult::Corrupt };
+        let Ok(state) = decode::<GroupState>(&snapshot.state) else { return InstallResult::Corrupt };
         if state.recreated_in_epoch() < self.state.recreated_in_epoch() {
             return InstallResult::Outdated;
         }
-        let was_given_up = state.recreated_in_epoch() > self.state.recreated_in_epoch();
-        let drops_shown = (log.lacks(self.last_read) && !was_given_up).then_some(self.last_read);
-        if !extends && !self.has(ReplicaBug::MarksOutliveCopy) {
+        let was_recreated = state.recreated_in_epoch() > self.state.recreated_in_epoch();
+        let lost_read = (log.lacks(self.last_read) && !was_recreated).then_some(self.last_read);
+        if !extends_log && !self.has(ReplicaBug::MarksOutliveCopy) {
             (self.durable_sequence, self.committed_sequence, self.caught_up_epoch) = (0, 0, 0);
         }
-        if drops_shown.is_some() || was_given_up {
+        if lost_read.is_some() || was_recreated {
             self.last_read = EntryPosition::default();
         }
         (self.log, self.state) = (log, state);
-        InstallResult::Installed { lost_read: drops_shown }
+        InstallResult::Installed { lost_read }
     }
 
-    /// Becomes what a copy on the own disk holds.
-    pub fn restore_snapshot(&mut self, copy: &GroupSnapshot) -> bool {
-        let Ok(state) = decode::<GroupState>(&copy.state) else { return false };
-        let log = EntryLog::from_snapshot(copy.position, copy.history.clone());
+    /// Restores a snapshot from the disk. Returns false if it cannot be decoded.
+    pub fn restore_snapshot(&mut self, snapshot: &GroupSnapshot) -> bool {
+        let Ok(state) = decode::<GroupState>(&snapshot.state) else { return false };
+        let log = EntryLog::from_snapshot(snapshot.position, snapshot.history.clone());
         *self = Self { log, state, planted: self.planted, ..Self::default() };
         true
     }
 
-    /// The entry at that place is on the disk, with all before it; of no effect if a copy has taken it away meanwhile.
+    /// Records that the entry at this position and all before it are durable on this disk. Has no effect if a snapshot has
+    /// replaced the entry meanwhile.
     pub fn mark_durable(&mut self, position: EntryPosition) {
         if self.contains(position) || self.has(ReplicaBug::MarksOutliveCopy) {
             self.durable_sequence = self.durable_sequence.max(position.sequence);
         }
     }
 
-    /// Every link after this one has the entry at that place, in the view of `role`: it is committed if enough links held the
-    /// group in that view, whatever is known since. Of no effect if a copy has taken the entry away meanwhile.
+    /// Records that every link after this one has the entry at this position, in the view of `role`. The entry is committed if the
+    /// group was open in that view, whatever has become known since. Has no effect if a snapshot has replaced the entry
+    /// meanwhile.
     pub fn mark_replicated(&mut self, role: &Role, position: EntryPosition) {
         let is_here = self.contains(position) || self.has(ReplicaBug::MarksOutliveCopy);
         if (role.is_open || self.has(ReplicaBug::CommitsWhileClosed)) && is_here {
@@ -288,7 +296,7 @@
         }
     }
 
-    /// A reader is shown the group as it was at that place.
+    /// Records that a reader is shown the group as of this position.
     pub fn mark_read(&mut self, position: EntryPosition) {
         self.last_read = self.last_read.max(position);
     }
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -1,62 +1,68 @@
-//! What a store is to a group in one view.
+//! The role of a store in a group's chain, in one view.
 
 use fennelgauge_coordination::{Group, GroupNumber, StoreNumber, StoreView};
 
-/// A store's part in a group's chain.
+/// A store's role as a link of a group's chain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Role {
+    /// Epoch of the view.
     pub epoch: u64,
-    /// The view in which the group was begun anew; 0 where it never was.
+    /// Epoch of the view in which the group was last recreated after being given up; 0 if it never was.
     pub recreated_in_epoch: u64,
-    /// Batch jobs that were given up then.
+    /// Names of the batch jobs that were given up with the group.
     pub given_up_jobs: Vec<String>,
-    /// Being level in this view or a later one is being level now.
+    /// Epoch since which the chain up to this store is unchanged: a store that was caught up in that view or a later one still
+    /// is.
     pub caught_up_since: u64,
-    /// The same, of the successor.
+    /// Same as `caught_up_since`, for the successor; none for the tail.
     pub successor_caught_up_since: Option<u64>,
-    /// Whether enough links hold the group for it to be changed and read.
+    /// Whether enough holders are alive for the group to be changed and read.
     pub is_open: bool,
-    /// Where it has not told yet that it has everything: since which view it is a link.
+    /// For a joining link, which has not confirmed yet that it has everything: the epoch since which it is a link.
     pub joining_since: Option<u64>,
+    /// The link before this store; none for the head.
     pub predecessor: Option<StoreNumber>,
+    /// The link after this store; none for the tail.
     pub successor: Option<StoreNumber>,
-    /// All links of the chain but this store, head first.
+    /// All other links of the chain, head first.
     pub others: Vec<StoreNumber>,
 }
 
 impl Role {
-    /// The part of `store` in a group; none if it is no link of the chain.
+    /// Returns the role of `store` in a group; none if it is not a link of the chain.
     pub fn of(view: &StoreView, group: GroupNumber, store: StoreNumber) -> Option<Self> {
-        let held: &Group = view.group(group)?;
-        let place = held.chain.iter().position(|link| *link == store)?;
+        let placement: &Group = view.group(group)?;
+        let index = placement.chain.iter().position(|link| *link == store)?;
         Some(Self {
             epoch: view.epoch,
-            recreated_in_epoch: held.recreated_in_epoch,
-            given_up_jobs: held.given_up_jobs.clone(),
-            caught_up_since: held.unchanged_since(store)?,
-            successor_caught_up_since: held.unchanged_since.get(place + 1).copied(),
-            is_open: held.is_open(),
-            joining_since: held.joining_since(store),
-            predecessor: place.checked_sub(1).and_then(|before| held.chain.get(before)).copied(),
-            successor: held.chain.get(place + 1).copied(),
-            others: held.chain.iter().copied().filter(|link| *link != store).collect(),
+            recreated_in_epoch: placement.recreated_in_epoch,
+            given_up_jobs: placement.given_up_jobs.clone(),
+            caught_up_since: placement.unchanged_since(store)?,
+            successor_caught_up_since: placement.unchanged_since.get(index + 1).copied(),
+            is_open: placement.is_open(),
+            joining_since: placement.joining_since(store),
+            predecessor: index.checked_sub(1).and_then(|previous| placement.chain.get(previous)).copied(),
+            successor: placement.chain.get(index + 1).copied(),
+            others: placement.chain.iter().copied().filter(|link| *link != store).collect(),
         })
     }
 
+    /// Whether this store is the head, which makes the entries.
     pub fn is_head(&self) -> bool {
         self.predecessor.is_none()
     }
 
+    /// Whether this store is the tail, which answers reads.
     pub fn is_tail(&self) -> bool {
         self.successor.is_none()
     }
 
-    /// Whether this store may take changes of the group.
+    /// Whether this store takes changes of the group.
     pub fn accepts_writes(&self) -> bool {
         self.is_head() && self.is_open
     }
 
-    /// Whether this store may answer reads of the group, once it is level and the others have confirmed the view.
+    /// Whether this store answers reads of the group, provided that it is caught up and the other links confirm the view.
     pub fn serves_reads(&self) -> bool {
         self.is_tail() && self.is_open
     }
--- a/crates/replication/tests/decisions.rs
+++ b/crates/replication/tests/decisions.rs
@@ -5,7 +5,7 @@
 use fennelgauge_batch::{Command, Item, ItemOutcome, ItemResult, Job};
 use fennelgauge_coordination::{Group, GroupNumber, StoreNumber, StoreView, GROUP_COUNT};
 use fennelgauge_replication::{
-    CatchUp, EndDecision, Entry, EntryBatch, EntryPosition, EntryStatus, ForwardTarget, InstallResult,
+    CancelDecision, CatchUp, Entry, EntryBatch, EntryPosition, EntryStatus, ForwardTarget, InstallResult,
     ReadOperation, ReadQuery, ReadStep, Repair, RepairStep, RepairUrgency, Replica, Role, SubmissionDecision,
     CONFIRM_TIMEOUT, MAX_LAG_TO_JOIN,
 };
@@ -145,14 +145,14 @@
         assert_eq!(open.decide_submission(role.as_ref(), &job, most), expected, "{what}");
     }
     let endings = [
-        ("open", first.clone(), TENANT, "a", EndDecision::End),
-        ("ended", first.clone(), TENANT, "b", EndDecision::AlreadyEnded(open.position())),
-        ("of another tenant", first.clone(), "u", "a", EndDecision::NotFound),
-        ("unknown", first, TENANT, "c", EndDecision::NotFound),
-        ("a closed group", closed, TENANT, "a", EndDecision::NotWritable),
+        ("open", first.clone(), TENANT, "a", CancelDecision::Cancel),
+        ("ended", first.clone(), TENANT, "b", CancelDecision::AlreadyCancelled(open.position())),
+        ("of another tenant", first.clone(), "u", "a", CancelDecision::NotFound),
+        ("unknown", first, TENANT, "c", CancelDecision::NotFound),
+        ("a closed group", closed, TENANT, "a", CancelDecision::NotWritable),
     ];
     for (what, role, tenant, job, expected) in endings {
-        assert_eq!(open.decide_end(role.as_ref(), tenant, job), expected, "{what}");
+        assert_eq!(open.decide_cancellation(role.as_ref(), tenant, job), expected, "{what}");
     }
     let entry = entries[0].position;
     assert_eq!(open.entry_status(entry), EntryStatus::Pending);
--- a/crates/simulation/src/stores/answering.rs
+++ b/crates/simulation/src/stores/answering.rs
@@ -6,7 +6,7 @@
 use fennelgauge_batch::Command;
 use fennelgauge_coordination::GroupNumber;
 use fennelgauge_replication::{
-    CatchUp, EndDecision, EntryPosition, ReadOperation, ReadQuery, SubmissionDecision,
+    CancelDecision, CatchUp, EntryPosition, ReadOperation, ReadQuery, SubmissionDecision,
 };
 
 use super::disk::Record;
@@ -78,14 +78,14 @@
             }
             Ask::End { group, tenant, job, .. } => {
                 let role = self.changing_role(group);
-                let entry = match self.replica(group).decide_end(role.as_ref(), &tenant, &job) {
-                    EndDecision::NotWritable => return Some(Answer::NotTaken),
-                    EndDecision::NotFound if self.replica(group).state().may_have_given_up(&job) => {
+                let entry = match self.replica(group).decide_cancellation(role.as_ref(), &tenant, &job) {
+                    CancelDecision::NotWritable => return Some(Answer::NotTaken),
+                    CancelDecision::NotFound if self.replica(group).state().may_have_given_up(&job) => {
                         return Some(Answer::GivenUp);
                     }
-                    EndDecision::NotFound => return Some(Answer::Unsure),
-                    EndDecision::AlreadyEnded(entry) => entry,
-                    EndDecision::End => {
+                    CancelDecision::NotFound => return Some(Answer::Unsure),
+                    CancelDecision::AlreadyCancelled(entry) => entry,
+                    CancelDecision::Cancel => {
                         self.stop_items(&job);
                         self.change(group, Command::Cancel { job }, step)
                     }
@@ -136,10 +136,10 @@
         let reading = match self.plant {
             Some(StorePlant::AnyLinkAnswers) => role
                 .filter(|role| role.is_open)
-                .map(|role| ReadOperation::new_unchecked(role, query, READ_HOLD)),
+                .map(|role| ReadOperation::without_role_check(role, query, READ_HOLD)),
             Some(StorePlant::AnswersWhileClosed) => role
                 .filter(|role| role.is_tail())
-                .map(|role| ReadOperation::new_unchecked(role, query, READ_HOLD)),
+                .map(|role| ReadOperation::without_role_check(role, query, READ_HOLD)),
             _ => ReadOperation::new(role, query, READ_HOLD),
         };
         let Some(mut reading) = reading else { return Some(Answer::Unsure) };
