--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -1,4 +1,4 @@
-//! What the head of the core knows of a group of batch jobs, and giving one up.
+//! The head's answers about a group of batch jobs, and giving up a group.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,25 +10,27 @@
 use fennelgauge_upstream::wall_clock;
 use fennelgauge_wire::{GiveUpReply, GroupStatus, GroupStatusReply};
 
-use super::orders::WriteError;
+use super::requests::WriteError;
 use super::Core;
-use crate::placement::HEAD_PATIENCE;
+use crate::placement::NEW_HEAD_HEARTBEAT_WAIT;
 use crate::state::{ControlState, StateChange};
 
-/// Why an order to give a group up is not carried out now.
-enum NotNow {
-    Taken,
+/// Why an order to give up a group leads to no change.
+enum GiveUpRejection {
+    /// The same order was carried out before.
+    AlreadyDone,
+    /// The order does not fit the state of the group.
     Refused(GiveUpRefusal),
 }
 
 impl Core {
-    /// What is known of a group, at the head.
-    pub(super) async fn group_here(self: &Rc<Self>, group: GroupNumber) -> GroupStatusReply {
-        if !self.is_head() || !self.has_heard_the_stores() || !self.stands().await {
+    /// Returns the state of a group, if this member is the head and its view is current.
+    pub(super) async fn group_status(self: &Rc<Self>, group: GroupNumber) -> GroupStatusReply {
+        if !self.is_head() || !self.has_heard_from_stores() || !self.is_view_current().await {
             return GroupStatusReply::Unavailable;
         }
         let Some(state) = self.committed_state() else { return GroupStatusReply::Unavailable };
-        let view = &state.small.stores;
+        let view = &state.metadata.stores;
         let Some(held) = view.group(group) else { return GroupStatusReply::UnknownGroup };
         let node = |number: &StoreNumber| view.store(*number).map(|store| store.member.identity.node.clone());
         let names = |numbers: Vec<StoreNumber>| numbers.iter().filter_map(node).collect();
@@ -36,31 +38,31 @@
             group: group.0,
             view: view.epoch,
             is_open: held.is_open(),
-            holders: self.holders_seen(view, group),
+            holders: self.holder_states(view, group),
             joining: names(held.joining.iter().map(|newcomer| newcomer.store).collect()),
             learner: held.learner.and_then(|learner| node(&learner.store)),
-            given_up: state.small.given_up_of(group),
+            given_up: state.metadata.given_up_records(group),
         })
     }
 
-    /// Gives a group up, at the head.
-    pub(super) async fn give_up_here(self: &Rc<Self>, order: &GiveUp) -> GiveUpReply {
-        if !self.is_head() || !self.has_heard_the_stores() {
+    /// Gives up a group as an operator ordered, if this member is the head.
+    pub(super) async fn give_up_group(self: &Rc<Self>, order: &GiveUp) -> GiveUpReply {
+        if !self.is_head() || !self.has_heard_from_stores() {
             return GiveUpReply::Unavailable;
         }
-        let heard = self.presence.fresh();
-        let losses = self.settings.tolerate.tolerated_failures();
+        let live_stores = self.heartbeats.live_stores();
+        let tolerated_failures = self.settings.tolerate.tolerated_failures();
         let written = self
             .write(|state| {
-                if state.small.has_given_up(order) {
-                    return Err(NotNow::Taken);
+                if state.metadata.has_given_up(order) {
+                    return Err(GiveUpRejection::AlreadyDone);
                 }
-                let view = &state.small.stores;
-                let seen = self.holders_seen(view, order.group);
-                let planner = Planner::new(losses, &heard, false);
-                let names = self.known_names(state, order.group);
-                let next = planner.give_up(view, order, &seen, names, GIVE_UP_AFTER);
-                let next = next.map_err(NotNow::Refused)?;
+                let view = &state.metadata.stores;
+                let seen = self.holder_states(view, order.group);
+                let planner = Planner::new(tolerated_failures, &live_stores, false);
+                let job_ids = self.known_job_ids(state, order.group);
+                let next = planner.give_up(view, order, &seen, job_ids, GIVE_UP_AFTER);
+                let next = next.map_err(GiveUpRejection::Refused)?;
                 let at_ms = wall_clock().as_millis() as u64;
                 let given_up = GivenUp { order: order.clone(), begun_in: next.epoch, at_ms };
                 Ok(StateChange::GiveUp { given_up, stores: next })
@@ -68,46 +70,53 @@
             .await;
         match written {
             Ok(Ok(())) => {
-                log::error!("group {} is given up: {order:?}", order.group.0);
+                log::error!(
+                    "group {} is given up by an operator's order, its batch jobs are lost: {order:?}",
+                    order.group.0
+                );
                 GiveUpReply::Done
             }
-            Ok(Err(NotNow::Taken)) => GiveUpReply::Done,
-            Ok(Err(NotNow::Refused(reason))) if self.stands().await => GiveUpReply::Refused(reason),
-            Ok(Err(NotNow::Refused(_))) | Err(WriteError::NotTaken) => GiveUpReply::Unavailable,
-            Err(WriteError::Unknown) => GiveUpReply::OutcomeUnknown,
+            Ok(Err(GiveUpRejection::AlreadyDone)) => GiveUpReply::Done,
+            Ok(Err(GiveUpRejection::Refused(reason))) if self.is_view_current().await => {
+                GiveUpReply::Refused(reason)
+            }
+            Ok(Err(GiveUpRejection::Refused(_))) | Err(WriteError::NotAccepted) => GiveUpReply::Unavailable,
+            Err(WriteError::OutcomeUnknown) => GiveUpReply::OutcomeUnknown,
         }
     }
 
-    /// Names of batch jobs of a group, as they were told here or are on record.
-    fn known_names(&self, state: &ControlState, group: GroupNumber) -> Vec<String> {
-        let mut names = self.presence.names(group);
-        names.extend(state.small.names_of(group));
-        names.into_iter().collect()
+    /// Returns the known ids of a group's batch jobs: those that stores reported here and those on record.
+    fn known_job_ids(&self, state: &ControlState, group: GroupNumber) -> Vec<String> {
+        let mut job_ids = self.heartbeats.job_ids(group);
+        job_ids.extend(state.metadata.lost_jobs_of(group));
+        job_ids.into_iter().collect()
     }
 
-    /// Whether this machine has been the head for long enough to have heard every store that is there.
-    fn has_heard_the_stores(&self) -> bool {
-        self.in_view_for() >= HEAD_PATIENCE || self.epoch() == 1
+    /// Returns true if this member has been the head for long enough to have a heartbeat from every live store. The first
+    /// view of the core needs no wait.
+    fn has_heard_from_stores(&self) -> bool {
+        self.time_in_view() >= NEW_HEAD_HEARTBEAT_WAIT || self.epoch() == 1
     }
 
-    /// The holders of a group as they were heard here. One that was never heard here counts as silent for as long as this machine
-    /// is in its view.
-    fn holders_seen(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderSeen> {
+    /// Returns the holders of a group with how long each has been silent. A store without a heartbeat here counts as
+    /// silent for as long as this member has been in its view.
+    fn holder_states(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderSeen> {
         let seen = |number: StoreNumber| {
             let identity = &view.store(number)?.member.identity;
-            let last = self.presence.last_word(identity, group);
-            let silent_for = match last.silent_for {
-                Some(silent_for) if silent_for < crate::placement::LOST_AFTER => None,
+            let report = self.heartbeats.last_report(identity, group);
+            let silent_for = match report.silent_for {
+                Some(silent_for) if silent_for < crate::placement::STORE_LIVENESS_TIMEOUT => None,
                 Some(silent_for) => Some(silent_for),
-                None => Some(self.in_view_for()),
+                None => Some(self.time_in_view()),
             };
-            let holder = LastHolder { node: identity.node.clone(), entries: last.entries };
+            let holder = LastHolder { node: identity.node.clone(), entries: report.entries };
             Some(HolderSeen { holder, silent_for: silent_for.map(whole_seconds) })
         };
         view.holders_on_record(group).into_iter().filter_map(seen).collect()
     }
 }
 
+/// Rounds a duration down to whole seconds.
 fn whole_seconds(time: Duration) -> Duration {
     Duration::from_secs(time.as_secs())
 }
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! A machine of the core: the thin process around the state machines of `fennelgauge-coordination`. It gives them messages and the time, does their
-//! writes, sends what they say, and passes on what is committed.
+//! A core member: runs the state machines of `fennelgauge-coordination`. Gives them messages and the time, carries out
+//! their writes, sends their messages, and publishes the committed state to the rest of the process.
 
 mod groups;
-mod orders;
+mod requests;
 mod storage;
 #[cfg(test)]
 mod tests;
@@ -23,43 +23,50 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::{sleep, timeout_at, Instant};
 
-use crate::placement::Presence;
+use crate::placement::HeartbeatTracker;
 use crate::state::ControlState;
-pub use orders::WriteError;
+pub use requests::WriteError;
 use storage::{Storage, Writes};
 
-const TICK_EVERY: Duration = Duration::from_millis(50);
-/// A message that has not left by then is of no use any more.
+/// How often the coordinator is told the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a message to another member; the protocol repeats what matters.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A disk that did not write is tried again so often; until then this machine does and says nothing.
-const TRY_DISK_EVERY: Duration = Duration::from_millis(400);
-/// More messages than this do not wait for a machine that is busy with its disk.
-const MOST_WAITING: usize = 256;
-/// A view that a majority confirmed within this time is taken for the present one by duties.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(1_200);
-
-/// The core as this machine sees it.
+/// Time between attempts to repeat a failed disk write. Until it succeeds, this member processes and sends nothing.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Largest number of messages that wait while this member is busy with its disk; more are dropped.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Longest time since a majority confirmed the view for which the head's tasks still rely on it.
+const CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(1_200);
+
+/// One member of the core.
 pub struct Core {
+    /// This member, as it is known to the others.
     pub me: Member,
     pub settings: Rc<Settings>,
+    /// Configuration, server list and views that this process has and serves to watchers.
     pub known: Rc<Known>,
+    /// Makes calls to other processes of the tier.
     pub caller: Caller,
-    /// The stores that have told of themselves.
-    pub presence: Presence,
+    /// Heartbeats received from the stores.
+    pub heartbeats: HeartbeatTracker,
     coordinator: RefCell<Coordinator<ControlState>>,
     storage: Storage,
+    /// Origin of the coordinator's clock.
     started: Instant,
-    /// Held from when something comes in until what follows from it is written and sent.
-    turn: Mutex<()>,
-    /// Held by the head for one change at a time.
-    writing: Mutex<()>,
-    waiting: Cell<usize>,
-    /// Something may have changed.
-    moved: Notify,
+    /// Held from the start of a step of the coordinator until its writes are done and its messages sent.
+    step_lock: Mutex<()>,
+    /// Held by the head during one change of the control state, so that each change builds on the one before.
+    write_lock: Mutex<()>,
+    /// Number of messages that wait for `step_lock`.
+    queued_messages: Cell<usize>,
+    /// Notified after each step of the coordinator.
+    stepped: Notify,
 }
 
 impl Core {
-    /// Opens what this machine has on disk.
+    /// Opens this member's data directory, or starts empty. `peer` is the address under which other members reach this
+    /// one. Fails if the directory cannot be read or written.
     pub fn open(
         settings: Rc<Settings>,
         known: Rc<Known>,
@@ -77,56 +84,56 @@
             settings,
             known,
             caller,
-            presence: Presence::default(),
+            heartbeats: HeartbeatTracker::default(),
             coordinator: RefCell::new(coordinator),
             storage: opened.storage,
             started: Instant::now(),
-            turn: Mutex::new(()),
-            writing: Mutex::new(()),
-            waiting: Cell::new(0),
-            moved: Notify::new(),
+            step_lock: Mutex::new(()),
+            write_lock: Mutex::new(()),
+            queued_messages: Cell::new(0),
+            stepped: Notify::new(),
         }))
     }
 
-    /// Keeps this machine's part in the core, without end.
+    /// Tells the coordinator the time at an interval, which makes it send messages and change views. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.take(|coordinator, now| ((), coordinator.tick(now))).await;
-            sleep(TICK_EVERY).await;
+            self.run_step(|coordinator, now| ((), coordinator.tick(now))).await;
+            sleep(TICK_INTERVAL).await;
         }
     }
 
-    /// Takes a message of another machine's.
+    /// Processes a message of another member; drops it if too many are waiting.
     pub async fn handle_message(self: Rc<Self>, envelope: Envelope) {
-        if self.waiting.get() >= MOST_WAITING {
+        if self.queued_messages.get() >= MAX_QUEUED_MESSAGES {
             return;
         }
-        self.waiting.set(self.waiting.get() + 1);
+        self.queued_messages.set(self.queued_messages.get() + 1);
         let Envelope { from, message } = envelope;
-        self.take(|coordinator, now| ((), coordinator.handle(now, &from, message))).await;
-        self.waiting.set(self.waiting.get() - 1);
+        self.run_step(|coordinator, now| ((), coordinator.handle(now, &from, message))).await;
+        self.queued_messages.set(self.queued_messages.get() - 1);
     }
 
-    /// One step of the state machines, with all that follows from it.
-    async fn take<A>(
+    /// Runs one step of the coordinator, its writes and messages, and publishes the result. Steps never overlap.
+    async fn run_step<A>(
         self: &Rc<Self>,
         step: impl FnOnce(&mut Coordinator<ControlState>, Duration) -> (A, Outcome),
     ) -> A {
-        let _turn = self.turn.lock().await;
+        let _guard = self.step_lock.lock().await;
         let now = self.started.elapsed();
-        let (answer, outcome) = step(&mut self.coordinator.borrow_mut(), now);
-        self.perform(outcome).await;
+        let (result, outcome) = step(&mut self.coordinator.borrow_mut(), now);
+        self.execute(outcome).await;
         self.publish();
-        self.moved.notify_waiters();
-        answer
+        self.stepped.notify_waiters();
+        result
     }
 
-    /// Writes first; what rests on it is sent only when it is on the disk.
-    async fn perform(self: &Rc<Self>, outcome: Outcome) {
+    /// Writes to the disk, repeating until that succeeds, and then sends the messages: they promise what was written.
+    async fn execute(self: &Rc<Self>, outcome: Outcome) {
         if outcome.write_record || outcome.write_value {
             let writes = self.writes(&outcome);
             while !self.storage.write(writes.clone()).await {
-                sleep(TRY_DISK_EVERY).await;
+                sleep(DISK_RETRY_INTERVAL).await;
             }
         }
         for (to, message) in outcome.sends {
@@ -151,7 +158,7 @@
         });
     }
 
-    /// Passes on what is committed, and how fresh this machine is.
+    /// Publishes the committed state, the newest view and the time of its confirmation to the process's watchers.
     fn publish(&self) {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
@@ -165,68 +172,71 @@
         if state.generation() > self.known.generation() {
             self.known.take_configuration(state.generation(), state.configuration.json().to_vec());
         }
-        if state.small.stores.epoch > self.known.stores().epoch {
-            self.known.take_stores(state.small.stores.clone());
+        if state.metadata.stores.epoch > self.known.stores().epoch {
+            self.known.take_stores(state.metadata.stores.clone());
         }
     }
 
-    /// The newest view that this machine knows.
+    /// Returns the newest view that this member knows.
     pub fn view(&self) -> View {
         self.coordinator.borrow().replica().newest_view().clone()
     }
 
-    /// The epoch of the view that this machine votes in: the fence of its duties while it is the head.
+    /// Returns the epoch of the view that this member votes in; as head, its fencing token towards the platform.
     pub fn epoch(&self) -> u64 {
         self.coordinator.borrow().replica().view().epoch
     }
 
-    /// Whether this machine is a link of the chain.
+    /// Returns true if this member belongs to the chain of its view.
     pub fn is_link(&self) -> bool {
         self.coordinator.borrow().replica().is_link()
     }
 
+    /// Returns true if this member is the head of the chain of its view.
     pub fn is_head(&self) -> bool {
         self.coordinator.borrow().replica().is_head()
     }
 
-    /// The newest state, if every link of the chain has it.
+    /// Returns the newest state if every member of the chain has it, else `None`.
     pub fn committed_state(&self) -> Option<Arc<ControlState>> {
         self.coordinator.borrow().replica().committed_value().cloned()
     }
 
-    /// Since when this machine is in its view.
-    pub fn in_view_for(&self) -> Duration {
+    /// Returns how long this member has been in its view.
+    pub fn time_in_view(&self) -> Duration {
         self.started.elapsed().saturating_sub(self.coordinator.borrow().installed_at())
     }
 
-    /// Whether a majority said lately that the view stands.
+    /// Returns true if a majority confirmed this member's view within `CONFIRMATION_MAX_AGE`.
     pub fn is_confirmed(&self) -> bool {
         let confirmed = self.coordinator.borrow().confirmed_at();
-        confirmed.is_some_and(|at| self.started.elapsed().saturating_sub(at) < CONFIRMED_WITHIN)
+        confirmed.is_some_and(|at| self.started.elapsed().saturating_sub(at) < CONFIRMATION_MAX_AGE)
     }
 
-    /// Whether a majority, asked now, is in this machine's view: what was committed here before is all there was.
-    pub async fn confirm(self: &Rc<Self>, until: Instant) -> bool {
-        let question = self.take(|coordinator, now| coordinator.ask_majority(now)).await;
-        self.wait_for(until, |coordinator| coordinator.answer_to(question)).await == Progress::Done
+    /// Asks a majority whether this member's view is still current, and returns true if it confirms that in time. Then
+    /// nothing was committed, up to the start of this call, that this member does not know.
+    pub async fn confirm_view(self: &Rc<Self>, until: Instant) -> bool {
+        let question = self.run_step(|coordinator, now| coordinator.ask_majority(now)).await;
+        self.wait_for_progress(until, |coordinator| coordinator.answer_to(question)).await == Progress::Done
     }
 
-    /// Waits until something is done or overtaken, or time is up.
-    async fn wait_for(
+    /// Waits until `progress` is no longer waiting, or the time is up; returns the last progress.
+    async fn wait_for_progress(
         &self,
         until: Instant,
         progress: impl Fn(&Coordinator<ControlState>) -> Progress,
     ) -> Progress {
         loop {
-            let moved = self.moved.notified();
-            let now = progress(&self.coordinator.borrow());
-            if now != Progress::Waiting || timeout_at(until, moved).await.is_err() {
-                return now;
+            let stepped = self.stepped.notified();
+            let current = progress(&self.coordinator.borrow());
+            if current != Progress::Waiting || timeout_at(until, stepped).await.is_err() {
+                return current;
             }
         }
     }
 }
 
+/// Describes this process as a member of the core.
 fn member(settings: &Settings, identity: Identity, peer: SocketAddr) -> Member {
     Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() }
 }
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -1,7 +1,9 @@
-//! What a machine of the core has on its disk: who it is, the record of its promises, versions of the control state, and configurations,
-//! each in a folder of its own. A configuration is written once, however many versions have it.
+//! The data directory of a core member. It holds the member's identity, the record of its promises, the newest versions
+//! of the control state, and configurations, each in a directory of its own. A configuration is written once, however
+//! many versions refer to it.
 //!
-//! What cannot be read is forgotten, and who has forgotten must not vote as who it was: it gets a new identity.
+//! If a part of it cannot be read, all of it is discarded: a member that has lost promises must not vote under its old
+//! identity, so it gets a new one.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -16,54 +18,61 @@
 use tokio::sync::oneshot;
 
 use crate::identity::random_number;
-use crate::state::{ControlState, SharedConfiguration, SmallState};
+use crate::state::{ControlMetadata, ControlState, SharedConfiguration};
 
-/// Versions that are kept beside the newest, for the on-call.
-const KEPT: usize = 3;
+/// Number of versions of each file that are kept. Only the newest is ever loaded; the others help an operator to
+/// recover by hand.
+const VERSIONS_KEPT: usize = 3;
 
-/// A record and whose it is.
+/// A record with the identity that made it.
 #[derive(Serialize, Deserialize)]
 struct RecordFile {
     disk: u64,
     record: Record,
 }
 
-/// A version of the control state; the configuration is in a file of its own.
+/// A version of the control state; its configuration is in a file of its own.
 #[derive(Serialize, Deserialize)]
 struct ValueFile {
     version: Version,
-    small: SmallState,
-    /// The number of the configuration's file; none before the first configuration.
+    metadata: ControlMetadata,
+    /// Sequence number of the configuration's file; `None` before the first configuration.
     configuration: Option<u64>,
 }
 
-/// What has to be written, the record first.
+/// Data to be written; the record is written first.
 #[derive(Clone, Default)]
 pub struct Writes {
+    /// The record of the member's promises, if it changed.
     pub record: Option<Record>,
+    /// The control state and its version, if it changed.
     pub value: Option<(Version, Arc<ControlState>)>,
 }
 
-struct Job {
+/// Data handed to the writing thread.
+struct WriteJob {
     writes: Writes,
     done: oneshot::Sender<Result<(), VersionsError>>,
 }
 
-/// The disk of a machine of the core, written by a thread of its own.
+/// Writes to the data directory on a thread of its own. Without a data directory nothing is kept, and every write
+/// succeeds.
 #[derive(Clone)]
 pub struct Storage {
-    jobs: Option<mpsc::Sender<Job>>,
+    jobs: Option<mpsc::Sender<WriteJob>>,
 }
 
-/// A disk as it was found.
+/// An opened data directory and what it holds.
 pub struct Opened {
+    /// The member's identity: the stored one, or a new one.
     pub identity: Identity,
+    /// The record and the control state that were read; initial ones if the directory was empty or unreadable.
     pub stored: Stored<ControlState>,
     pub storage: Storage,
 }
 
 impl Storage {
-    /// Opens the disk that the settings name; without one nothing is kept, and nothing fails.
+    /// Opens the data directory that the settings name. Fails if it cannot be read or written.
     pub fn open(settings: &Settings) -> Result<Opened, VersionsError> {
         let seeds = if settings.bootstrap { settings.seed_peer_addresses() } else { Vec::new() };
         let Some(path) = &settings.data_dir else {
@@ -72,17 +81,17 @@
             return Ok(Opened { identity, stored: Stored::first(&seeds), storage });
         };
         let mut writer = Writer::open(path)?;
-        let found = writer.find()?;
+        let found = writer.load()?;
         let stored = match found {
             Some(stored) => stored,
             None => Stored::first(&seeds),
         };
         if settings.bootstrap && writer.records == 0 {
-            // The seeds are in the settings of the very first start only.
+            // Only the settings of the very first start have the seeds.
             writer.write_record(&stored.record)?;
         }
         let identity = Identity { node: settings.node.clone(), disk: writer.disk };
-        let (jobs, queue) = mpsc::channel::<Job>();
+        let (jobs, queue) = mpsc::channel::<WriteJob>();
         std::thread::spawn(move || {
             while let Ok(job) = queue.recv() {
                 let _ = job.done.send(writer.write(&job.writes));
@@ -91,46 +100,47 @@
         Ok(Opened { identity, stored, storage: Self { jobs: Some(jobs) } })
     }
 
-    /// Writes; true once all of it outlives a loss of power.
+    /// Writes data; returns true once it is synced to the disk, and false after logging the error if that fails.
     pub async fn write(&self, writes: Writes) -> bool {
         let Some(jobs) = &self.jobs else { return true };
         let (done, written) = oneshot::channel();
-        if jobs.send(Job { writes, done }).is_err() {
+        if jobs.send(WriteJob { writes, done }).is_err() {
             return false;
         }
         let written = written.await;
         if let Ok(Err(error)) = &written {
-            log::error!("{error}");
+            log::error!("core state cannot be written, this member pauses until a write succeeds: {error}");
         }
         matches!(written, Ok(Ok(())))
     }
 }
 
-/// The folders, and what is in them.
+/// The directories and their contents; owned by the writing thread.
 struct Writer {
-    identity_folder: VersionDirectory,
-    record_folder: VersionDirectory,
-    value_folder: VersionDirectory,
-    configuration_folder: VersionDirectory,
+    identity_directory: VersionDirectory,
+    record_directory: VersionDirectory,
+    value_directory: VersionDirectory,
+    configuration_directory: VersionDirectory,
+    /// Disk number of the member's identity.
     disk: u64,
-    /// Files written so far, or the highest number found.
+    /// Sequence number of the newest file in each directory.
     records: u64,
     values: u64,
     configurations: u64,
-    /// The newest configuration that is on the disk.
+    /// Sequence number and digest of the newest configuration on the disk.
     written_configuration: Option<(u64, u128)>,
-    /// Values that are kept, oldest first, with their configurations.
+    /// Sequence numbers of the kept values, oldest first, each with that of its configuration.
     kept: VecDeque<(u64, Option<u64>)>,
 }
 
 impl Writer {
     fn open(path: &Path) -> Result<Self, VersionsError> {
-        let folder = |name: &str| VersionDirectory::open(&path.join(name), name);
+        let directory = |name: &str| VersionDirectory::open(&path.join(name), name);
         let mut writer = Self {
-            identity_folder: folder("identity")?,
-            record_folder: folder("record")?,
-            value_folder: folder("value")?,
-            configuration_folder: folder("configuration")?,
+            identity_directory: directory("identity")?,
+            record_directory: directory("record")?,
+            value_directory: directory("value")?,
+            configuration_directory: directory("configuration")?,
             disk: 0,
             records: 0,
             values: 0,
@@ -138,26 +148,29 @@
             written_configuration: None,
             kept: VecDeque::new(),
         };
-        writer.records = highest(&writer.record_folder)?;
-        writer.values = highest(&writer.value_folder)?;
-        writer.configurations = highest(&writer.configuration_folder)?;
+        writer.records = highest_sequence(&writer.record_directory)?;
+        writer.values = highest_sequence(&writer.value_directory)?;
+        writer.configurations = highest_sequence(&writer.configuration_directory)?;
         Ok(writer)
     }
 
-    /// What the disk holds; none if it is empty, or if anything of it is forgotten: then under a new identity.
-    fn find(&mut self) -> Result<Option<Stored<ControlState>>, VersionsError> {
-        let found = self.find_whole()?;
-        if let Found::Whole(stored) = found {
+    /// Returns what the directory holds, or `None` if it is empty or a part of it is missing or unreadable. In the latter
+    /// cases the member gets a new identity.
+    fn load(&mut self) -> Result<Option<Stored<ControlState>>, VersionsError> {
+        let contents = self.load_contents()?;
+        if let Contents::Complete(stored) = contents {
             return Ok(Some(*stored));
         }
         let disk = random_number();
-        let number = highest(&self.identity_folder)? + 1;
-        self.identity_folder.write(name(number), &disk.to_le_bytes())?;
-        if matches!(found, Found::Forgotten) {
-            log::error!("a part of the disk cannot be read: this machine joins anew, as another member");
-            self.record_folder.quarantine_all()?;
-            self.value_folder.quarantine_all()?;
-            self.configuration_folder.quarantine_all()?;
+        let number = highest_sequence(&self.identity_directory)? + 1;
+        self.identity_directory.write(version_name(number), &disk.to_le_bytes())?;
+        if matches!(contents, Contents::Incomplete) {
+            log::error!(
+                "core state on the disk is partly missing or unreadable: this machine joins the core as a new member, its old files are set aside"
+            );
+            self.record_directory.quarantine_all()?;
+            self.value_directory.quarantine_all()?;
+            self.configuration_directory.quarantine_all()?;
         }
         self.disk = disk;
         self.records = 0;
@@ -165,30 +178,33 @@
         Ok(None)
     }
 
-    fn find_whole(&mut self) -> Result<Found, VersionsError> {
-        let identity = match self.identity_folder.read_newest()? {
+    /// Reads the newest file of each directory.
+    fn load_contents(&mut self) -> Result<Contents, VersionsError> {
+        let identity = match self.identity_directory.read_newest()? {
             NewestVersion::Valid(_, body) => {
                 <[u8; 8]>::try_from(body.as_slice()).ok().map(u64::from_le_bytes)
             }
             NewestVersion::Corrupt => None,
-            NewestVersion::None if self.records == 0 && self.values == 0 => return Ok(Found::Empty),
+            NewestVersion::None if self.records == 0 && self.values == 0 => return Ok(Contents::Empty),
             NewestVersion::None => None,
         };
-        let Some(identity) = identity else { return Ok(Found::Forgotten) };
+        let Some(identity) = identity else { return Ok(Contents::Incomplete) };
         self.disk = identity;
-        let record: Option<RecordFile> = match self.record_folder.read_newest()? {
-            NewestVersion::Valid(_, body) => readable(&body),
+        let record: Option<RecordFile> = match self.record_directory.read_newest()? {
+            NewestVersion::Valid(_, body) => decode_or_log(&body),
             NewestVersion::Corrupt => None,
-            // Nothing was promised yet.
-            NewestVersion::None if self.values == 0 => return Ok(Found::Whole(Box::new(Stored::first(&[])))),
+            // The member stopped before it made its first promise.
+            NewestVersion::None if self.values == 0 => {
+                return Ok(Contents::Complete(Box::new(Stored::first(&[]))))
+            }
             NewestVersion::None => None,
         };
         let Some(record) = record.filter(|record| record.disk == identity) else {
-            return Ok(Found::Forgotten);
+            return Ok(Contents::Incomplete);
         };
-        let value = match self.value_folder.read_newest()? {
+        let value = match self.value_directory.read_newest()? {
             NewestVersion::Valid(name, body) => {
-                readable(&body).and_then(|file| self.whole_value(name.sequence, file))
+                decode_or_log(&body).and_then(|file| self.load_value(name.sequence, file))
             }
             NewestVersion::Corrupt => None,
             NewestVersion::None => {
@@ -196,18 +212,21 @@
                 Some((first.version, first.value))
             }
         };
-        let Some((version, value)) = value else { return Ok(Found::Forgotten) };
-        Ok(Found::Whole(Box::new(Stored { record: record.record, version, value })))
+        let Some((version, value)) = value else { return Ok(Contents::Incomplete) };
+        Ok(Contents::Complete(Box::new(Stored { record: record.record, version, value })))
     }
 
-    fn whole_value(&mut self, number: u64, file: ValueFile) -> Option<(Version, Arc<ControlState>)> {
+    /// Reads the configuration of a value, and notes both as kept.
+    fn load_value(&mut self, number: u64, file: ValueFile) -> Option<(Version, Arc<ControlState>)> {
         let configuration = match file.configuration {
             None => SharedConfiguration::default(),
-            Some(number) => SharedConfiguration::new(self.configuration_folder.read(name(number)).ok()?),
+            Some(number) => {
+                SharedConfiguration::new(self.configuration_directory.read(version_name(number)).ok()?)
+            }
         };
         self.written_configuration = file.configuration.map(|number| (number, configuration.digest()));
         self.kept.push_back((number, file.configuration));
-        Some((file.version, Arc::new(ControlState { configuration, small: file.small })))
+        Some((file.version, Arc::new(ControlState { configuration, metadata: file.metadata })))
     }
 
     fn write(&mut self, writes: &Writes) -> Result<(), VersionsError> {
@@ -223,28 +242,29 @@
     fn write_record(&mut self, record: &Record) -> Result<(), VersionsError> {
         self.records += 1;
         let file = RecordFile { disk: self.disk, record: record.clone() };
-        self.record_folder.write(name(self.records), &encode(&file))?;
-        self.record_folder.prune(KEPT)
+        self.record_directory.write(version_name(self.records), &encode(&file))?;
+        self.record_directory.prune(VERSIONS_KEPT)
     }
 
     fn write_value(&mut self, version: Version, state: &ControlState) -> Result<(), VersionsError> {
         let configuration = self.write_configuration(&state.configuration)?;
         self.values += 1;
-        let file = ValueFile { version, small: state.small.clone(), configuration };
-        self.value_folder.write(name(self.values), &encode(&file))?;
+        let file = ValueFile { version, metadata: state.metadata.clone(), configuration };
+        self.value_directory.write(version_name(self.values), &encode(&file))?;
         self.kept.push_back((self.values, configuration));
-        while self.kept.len() > KEPT {
+        while self.kept.len() > VERSIONS_KEPT {
             self.kept.pop_front();
         }
-        self.value_folder.prune(KEPT)?;
-        for old in self.configuration_folder.list()? {
+        self.value_directory.prune(VERSIONS_KEPT)?;
+        for old in self.configuration_directory.list()? {
             if !self.kept.iter().any(|(_, configuration)| *configuration == Some(old.sequence)) {
-                self.configuration_folder.remove(old);
+                self.configuration_directory.remove(old);
             }
         }
         Ok(())
     }
 
+    /// Writes a configuration unless it is the newest on the disk; returns its sequence number, or `None` if it is empty.
     fn write_configuration(
         &mut self,
         configuration: &SharedConfiguration,
@@ -258,28 +278,38 @@
             }
         }
         self.configurations += 1;
-        self.configuration_folder.write(name(self.configurations), configuration.json())?;
+        self.configuration_directory.write(version_name(self.configurations), configuration.json())?;
         self.written_configuration = Some((self.configurations, configuration.digest()));
         Ok(Some(self.configurations))
     }
 }
 
-enum Found {
+/// State of a data directory.
+enum Contents {
+    /// Nothing was ever written.
     Empty,
-    Whole(Box<Stored<ControlState>>),
-    Forgotten,
+    /// Everything can be read.
+    Complete(Box<Stored<ControlState>>),
+    /// A part is missing or cannot be read.
+    Incomplete,
 }
 
-fn name(number: u64) -> VersionName {
-    VersionName { epoch: 0, sequence: number }
+fn version_name(sequence: u64) -> VersionName {
+    VersionName { epoch: 0, sequence }
 }
 
-fn highest(folder: &VersionDirectory) -> Result<u64, VersionsError> {
-    Ok(folder.list()?.last().map_or(0, |name| name.sequence))
+/// Returns the highest sequence number in a directory; 0 if it is empty.
+fn highest_sequence(directory: &VersionDirectory) -> Result<u64, VersionsError> {
+    Ok(directory.list()?.last().map_or(0, |name| name.sequence))
 }
 
-fn readable<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    decode(bytes).map_err(|reason| log::error!("state of another version or program: {reason}")).ok()
+/// Decodes the body of a file; logs the reason and returns `None` if that fails.
+fn decode_or_log<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+    decode(bytes)
+        .map_err(|reason| {
+            log::error!("core state cannot be decoded, perhaps written by another program version: {reason}")
+        })
+        .ok()
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/core/storage/tests.rs
+++ b/crates/control-plane/src/core/storage/tests.rs
@@ -15,7 +15,7 @@
     Settings::parse(&text, Path::new("test.toml")).expect("settings")
 }
 
-fn folder(name: &str) -> PathBuf {
+fn empty_directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fennelgauge-storage-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
@@ -26,7 +26,7 @@
     runtime.block_on(storage.write(writes))
 }
 
-fn configured(generation: u64) -> ControlState {
+fn state_with_generation(generation: u64) -> ControlState {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes();
     match ControlState::default().decide(&ConfigurationChange {
         kind: ChangeKind::Put,
@@ -42,7 +42,8 @@
     Some((Version { epoch: 1, sequence, digest: state.digest() }, Arc::new(state.clone())))
 }
 
-fn promised(stored: &Stored<ControlState>, round: u64) -> Record {
+/// Returns a record that promises a ballot of this round to another member.
+fn record_promising(stored: &Stored<ControlState>, round: u64) -> Record {
     let view = stored.record.acceptor.view.clone();
     let mut acceptor = Acceptor::new(view);
     let proposer = Identity { node: "b".to_owned(), disk: 7 };
@@ -51,28 +52,31 @@
 }
 
 fn files(path: &Path, name: &str) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(path.join(name)).expect("a folder");
+    let entries = std::fs::read_dir(path.join(name)).expect("a directory");
     let mut files: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
     files.retain(|file| !file.to_string_lossy().ends_with("unreadable"));
     files.sort();
     files
 }
 
-/// A disk with an identity, two records and two values, and what it held last.
-fn filled(name: &str) -> (PathBuf, Identity, Record) {
-    let path = folder(name);
+/// Creates a data directory with an identity, two records and two values, and returns the identity and the newest
+/// record with it.
+fn filled_directory(name: &str) -> (PathBuf, Identity, Record) {
+    let path = empty_directory(name);
     let opened = Storage::open(&settings(&path, true)).expect("opened");
-    let first = promised(&opened.stored, 1);
-    let second = promised(&opened.stored, 2);
-    for (record, state, sequence) in [(first, configured(3), 1), (second.clone(), configured(4), 2)] {
+    let first = record_promising(&opened.stored, 1);
+    let second = record_promising(&opened.stored, 2);
+    for (record, state, sequence) in
+        [(first, state_with_generation(3), 1), (second.clone(), state_with_generation(4), 2)]
+    {
         assert!(written(&opened.storage, Writes { record: Some(record), value: value(sequence, &state) }));
     }
     (path, opened.identity, second)
 }
 
 #[test]
-fn what_was_written_is_found_again_under_the_same_identity() {
-    let (path, identity, record) = filled("found");
+fn written_data_is_loaded_under_the_same_identity() {
+    let (path, identity, record) = filled_directory("found");
     let opened = Storage::open(&settings(&path, false)).expect("opened");
     assert_eq!(opened.identity, identity);
     assert_eq!(opened.stored.record, record);
@@ -81,22 +85,22 @@
 }
 
 #[test]
-fn seeds_of_the_very_first_start_are_kept_and_come_from_no_later_one() {
-    let path = folder("seeds");
+fn seeds_are_stored_at_the_first_start_and_not_taken_later() {
+    let path = empty_directory("seeds");
     let first = Storage::open(&settings(&path, true)).expect("opened");
     assert_eq!(first.stored.record.acceptor.view.voters.len(), 3);
     drop(first);
     let again = Storage::open(&settings(&path, false)).expect("opened");
     assert_eq!(again.stored.record.acceptor.view.voters.len(), 3);
-    let empty = Storage::open(&settings(&folder("wiped"), false)).expect("opened");
+    let empty = Storage::open(&settings(&empty_directory("wiped"), false)).expect("opened");
     assert!(empty.stored.record.acceptor.view.voters.is_empty(), "an empty disk votes for nothing");
 }
 
 #[test]
-fn whoever_cannot_read_what_it_promised_or_held_is_somebody_else() {
+fn member_with_unreadable_data_gets_a_new_identity() {
     for damaged in ["identity", "record", "value", "configuration"] {
         for truncated in [true, false] {
-            let (path, identity, _) = filled(&format!("damaged-{damaged}-{truncated}"));
+            let (path, identity, _) = filled_directory(&format!("damaged-{damaged}-{truncated}"));
             let newest = files(&path, damaged).pop().expect("a file");
             match truncated {
                 true => std::fs::write(&newest, b"FGVER").expect("written"),
@@ -118,8 +122,8 @@
 }
 
 #[test]
-fn records_without_the_identity_that_made_them_do_not_count() {
-    let (path, identity, _) = filled("no-identity");
+fn records_without_their_identity_are_discarded() {
+    let (path, identity, _) = filled_directory("no-identity");
     std::fs::remove_dir_all(path.join("identity")).expect("removed");
     let opened = Storage::open(&settings(&path, false)).expect("opened");
     assert_ne!(opened.identity, identity);
@@ -127,32 +131,32 @@
 }
 
 #[test]
-fn a_configuration_is_written_once_and_kept_while_a_version_has_it() {
-    let path = folder("once");
+fn configuration_is_written_once_and_kept_while_a_version_refers_to_it() {
+    let path = empty_directory("once");
     let opened = Storage::open(&settings(&path, true)).expect("opened");
-    let state = configured(3);
+    let state = state_with_generation(3);
     for sequence in 1..=40 {
-        let window = StateChange::Usage { window: sequence, counts: Default::default() };
-        let state = state.apply(&window.written()).expect("applied");
+        let window = StateChange::CommitUsage { window: sequence, counts: Default::default() };
+        let state = state.apply(&window.encode_for_chain()).expect("applied");
         assert!(written(&opened.storage, Writes { record: None, value: value(sequence, &state) }));
     }
     assert_eq!(files(&path, "configuration").len(), 1);
-    assert_eq!(files(&path, "value").len(), KEPT);
+    assert_eq!(files(&path, "value").len(), VERSIONS_KEPT);
     for generation in 4..20 {
-        let state = configured(generation);
+        let state = state_with_generation(generation);
         assert!(written(&opened.storage, Writes { record: None, value: value(40 + generation, &state) }));
     }
-    assert_eq!(files(&path, "configuration").len(), KEPT);
+    assert_eq!(files(&path, "configuration").len(), VERSIONS_KEPT);
     drop(opened);
     let opened = Storage::open(&settings(&path, false)).expect("opened");
     assert_eq!(opened.stored.value.generation(), 19);
 }
 
 #[test]
-fn a_version_may_be_replaced_by_one_that_is_called_older() {
-    let (path, _, _) = filled("back");
+fn last_written_version_counts_even_if_its_sequence_is_lower() {
+    let (path, _, _) = filled_directory("back");
     let opened = Storage::open(&settings(&path, false)).expect("opened");
-    let state = configured(3);
+    let state = state_with_generation(3);
     assert!(written(&opened.storage, Writes { record: None, value: value(1, &state) }));
     drop(opened);
     let opened = Storage::open(&settings(&path, false)).expect("opened");
--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The process around the state machines, over real connections on loopback.
+//! Tests of core members that talk to each other over real connections on loopback.
 
 use std::path::Path;
 
@@ -10,32 +10,32 @@
 use super::*;
 use crate::test_ports::listeners;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Other tests search their ports from other places.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Makes these tests search for free ports in another part of the range than other tests.
 const CORE_SALT: u32 = 5;
 
-fn local<F: std::future::Future<Output = ()>>(test: F) {
+fn run_local<F: std::future::Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
 struct Machine {
     core: Rc<Core>,
-    /// Nothing reaches it while this is set.
-    cut_off: Rc<Cell<bool>>,
-    keeping: JoinHandle<()>,
+    /// While set, the machine answers no request.
+    is_isolated: Rc<Cell<bool>>,
+    running: JoinHandle<()>,
 }
 
 impl Machine {
-    /// Cuts it off: it neither hears nor does anything of itself any more.
-    fn cut_off(&self) {
-        self.cut_off.set(true);
-        self.keeping.abort();
+    /// Isolates the machine: it neither receives messages nor sends any of its own accord.
+    fn isolate(&self) {
+        self.is_isolated.set(true);
+        self.running.abort();
     }
 }
 
-/// Three machines that are each other's seeds.
-async fn three(salt: u32) -> Vec<Machine> {
+/// Starts three machines that have each other as seeds.
+async fn start_three(salt: u32) -> Vec<Machine> {
     let (first, listeners) = listeners(3, CORE_SALT + salt).await;
     let mut machines = Vec::new();
     for (number, listener) in listeners.into_iter().enumerate() {
@@ -49,18 +49,18 @@
         let settings = Rc::new(Settings::parse(&text, Path::new("test.toml")).expect("settings"));
         let peer = settings.control_peer_address();
         let core = Core::open(settings, Rc::default(), Caller::default(), peer).expect("opened");
-        let cut_off = Rc::new(Cell::new(false));
-        let answering = (core.clone(), cut_off.clone());
+        let is_isolated = Rc::new(Cell::new(false));
+        let answering = (core.clone(), is_isolated.clone());
         spawn_local(serve(listener, move |request| answer(answering.clone(), request)));
-        let keeping = spawn_local(core.clone().run());
-        machines.push(Machine { core, cut_off, keeping });
+        let running = spawn_local(core.clone().run());
+        machines.push(Machine { core, is_isolated, running });
     }
     machines
 }
 
-async fn answer((core, cut_off): (Rc<Core>, Rc<Cell<bool>>), request: Request) -> Reply {
+async fn answer((core, is_isolated): (Rc<Core>, Rc<Cell<bool>>), request: Request) -> Reply {
     match request {
-        _ if cut_off.get() => std::future::pending().await,
+        _ if is_isolated.get() => std::future::pending().await,
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
             spawn_local(core.handle_message(*envelope));
@@ -70,48 +70,60 @@
     }
 }
 
-fn order(base: u64, generation: u64) -> ConfigurationChange {
+fn put(base_generation: u64, generation: u64) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes();
-    ConfigurationChange { kind: ChangeKind::Put, base_generation: base, body }
+    ConfigurationChange { kind: ChangeKind::Put, base_generation, body }
 }
 
-/// Waits for a machine of which something is true.
-async fn until(machines: &[Machine], what: &str, wanted: impl Fn(&Core) -> bool) -> Rc<Core> {
-    let began = Instant::now();
+/// Waits until a condition holds for one of the machines, and returns that machine.
+async fn until(machines: &[Machine], what: &str, condition: impl Fn(&Core) -> bool) -> Rc<Core> {
+    let started = Instant::now();
     loop {
-        if let Some(found) = machines.iter().find(|machine| wanted(&machine.core)) {
+        if let Some(found) = machines.iter().find(|machine| condition(&machine.core)) {
             return found.core.clone();
         }
-        assert!(began.elapsed() < PATIENCE, "{what} takes too long");
-        let _ = timeout_at(Instant::now() + TICK_EVERY, machines[0].core.moved.notified()).await;
+        assert!(started.elapsed() < TEST_TIMEOUT, "{what} takes too long");
+        let _ = timeout_at(Instant::now() + TICK_INTERVAL, machines[0].core.stepped.notified()).await;
     }
 }
 
-async fn acknowledged(core: &Rc<Core>, order: &ConfigurationChange) {
-    let began = Instant::now();
+/// Sends a change until it is acknowledged.
+async fn apply_change(core: &Rc<Core>, change: &ConfigurationChange) {
+    let started = Instant::now();
     loop {
-        match core.order_here(order).await {
+        match core.change_configuration(change).await {
             ChangeReply::Acknowledged => return,
             ChangeReply::Unavailable | ChangeReply::OutcomeUnknown => {}
             other => panic!("{other:?}"),
         }
-        assert!(began.elapsed() < PATIENCE, "an order takes too long");
+        assert!(started.elapsed() < TEST_TIMEOUT, "a change takes too long");
     }
 }
 
 #[test]
-fn an_order_is_taken_once_by_the_head_and_read_at_the_tail() {
-    local(async {
-        let machines = three(0).await;
+fn change_is_applied_once_by_the_head_and_read_at_the_tail() {
+    run_local(async {
+        let machines = start_three(0).await;
         let head = until(&machines, "a head", |core| core.is_head()).await;
-        acknowledged(&head, &order(0, 7)).await;
-        assert_eq!(head.order_here(&order(0, 7)).await, ChangeReply::Acknowledged, "known by its content");
-        assert_eq!(head.order_here(&order(0, 9)).await, ChangeReply::Conflict { current_generation: 7 });
+        apply_change(&head, &put(0, 7)).await;
+        assert_eq!(
+            head.change_configuration(&put(0, 7)).await,
+            ChangeReply::Acknowledged,
+            "known by its content"
+        );
+        assert_eq!(
+            head.change_configuration(&put(0, 9)).await,
+            ChangeReply::Conflict { current_generation: 7 }
+        );
         for machine in &machines {
             until(std::slice::from_ref(machine), "news", |core| core.known.generation() >= 7).await;
             let is_tail = machine.core.view().tail() == Some(&machine.core.me);
-            assert_eq!(machine.core.read_here().await.is_some(), is_tail, "only the tail answers reads");
-            let other = machine.core.order_here(&order(7, 8)).await;
+            assert_eq!(
+                machine.core.read_configuration().await.is_some(),
+                is_tail,
+                "only the tail answers reads"
+            );
+            let other = machine.core.change_configuration(&put(7, 8)).await;
             assert_eq!(other == ChangeReply::Unavailable, !machine.core.is_head());
             if machine.core.is_head() {
                 assert_eq!(other, ChangeReply::Acknowledged);
@@ -121,22 +133,22 @@
 }
 
 #[test]
-fn a_machine_that_is_cut_off_acknowledges_refuses_and_tells_nothing() {
-    local(async {
-        let mut machines = three(1).await;
+fn isolated_machine_neither_acknowledges_nor_refuses_nor_hands_out_configurations() {
+    run_local(async {
+        let mut machines = start_three(1).await;
         let head = until(&machines, "a head", |core| core.is_head()).await;
-        acknowledged(&head, &order(0, 7)).await;
-        let cut_off = machines.iter().position(|machine| Rc::ptr_eq(&machine.core, &head)).expect("the head");
-        let old = machines.remove(cut_off);
-        old.cut_off();
+        apply_change(&head, &put(0, 7)).await;
+        let index = machines.iter().position(|machine| Rc::ptr_eq(&machine.core, &head)).expect("the head");
+        let old = machines.remove(index);
+        old.isolate();
         let next = until(&machines, "another head", |core| core.is_head()).await;
-        acknowledged(&next, &order(7, 8)).await;
-        // What the machine that was cut off says of anything.
-        for asked in [order(7, 8), order(7, 9), order(0, 9), order(8, 9)] {
-            let said = old.core.order_here(&asked).await;
+        apply_change(&next, &put(7, 8)).await;
+        // The isolated machine, which was the head, can say nothing for certain about any change.
+        for change in [put(7, 8), put(7, 9), put(0, 9), put(8, 9)] {
+            let reply = old.core.change_configuration(&change).await;
             assert!(
-                matches!(said, ChangeReply::Unavailable | ChangeReply::OutcomeUnknown),
-                "{asked:?}: {said:?}"
+                matches!(reply, ChangeReply::Unavailable | ChangeReply::OutcomeUnknown),
+                "{change:?}: {reply:?}"
             );
         }
         let retire = old.core.answer(CoreRequest::RetireStatus { node: "x".to_owned() }).await;
@@ -146,10 +158,10 @@
             CoreReply::Configuration(None)
         ));
         let watch = WatchRequest { known: Default::default(), wait_ms: 0 };
-        let began = Instant::now();
+        let started = Instant::now();
         while old.core.known.answer_in_touch(&watch).await.configuration.is_some() {
-            assert!(began.elapsed() < PATIENCE, "it hands out an old configuration");
-            sleep(TICK_EVERY).await;
+            assert!(started.elapsed() < TEST_TIMEOUT, "it hands out an old configuration");
+            sleep(TICK_INTERVAL).await;
         }
         assert!(!old.core.is_confirmed());
     });
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -134,7 +134,7 @@
     let mut last_reported: Option<u64> = None;
     loop {
         sleep(USAGE_REPORT_INTERVAL).await;
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
+        if !core.is_head() || !core.is_confirmed() || core.time_in_view() < NEW_HEAD_DELAY {
             continue;
         }
         let width = core.settings.bounds.usage_window_s;
@@ -165,7 +165,7 @@
     window: u64,
 ) -> bool {
     let Some(state) = core.committed_state() else { return false };
-    if !state.small.usage.contains_key(&window) {
+    if !state.metadata.usage.contains_key(&window) {
         let counts = collector.window_counts(window);
         if counts.is_empty() {
             return true;
@@ -176,7 +176,7 @@
     }
     // Only committed counts are sent: another head could replace counts that are not committed.
     let Some(state) = core.committed_state() else { return false };
-    let Some(counts) = state.small.usage.get(&window) else { return false };
+    let Some(counts) = state.metadata.usage.get(&window) else { return false };
     let report = serde_json::json!({ "window": window, "counts": counts });
     match call_platform(core, client, platform, "usage", &report).await {
         Some(status) => status.is_success() || status == StatusCode::CONFLICT,
@@ -226,7 +226,7 @@
     loop {
         sleep(SCALING_INTERVAL).await;
         let Some(table) = core.known.table() else { continue };
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
+        if !core.is_head() || !core.is_confirmed() || core.time_in_view() < NEW_HEAD_DELAY {
             scalers.clear();
             continue;
         }
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -1,4 +1,5 @@
-//! The head keeps the placement of groups on stores as it should be.
+//! Placement of groups on stores. The head tracks the heartbeats of the stores and changes the stores' view when stores
+//! come, go or retire.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -13,186 +14,218 @@
 use crate::core::Core;
 use crate::state::{ControlState, Retirement, StateChange};
 
-const PLAN_EVERY: Duration = Duration::from_millis(250);
-/// While a group is closed, news of the stores are looked at after so short a time.
-const GATHER_FOR: Duration = Duration::from_millis(60);
-/// A store not heard for so long is taken for lost.
-pub const LOST_AFTER: Duration = Duration::from_millis(1_100);
-/// A new head hears the stores for so long before it judges any.
-pub const HEAD_PATIENCE: Duration = Duration::from_millis(1_300);
-/// The first placement waits so long for more stores.
-const FIRST_WAIT: Duration = Duration::from_millis(1_500);
-/// So many names of batch jobs are known of a group, the newest.
-const MOST_NAMES: usize = 2_048;
-/// What a silent store told last is known for so long.
-const REMEMBERED_FOR: Duration = Duration::from_secs(24 * 3_600);
-
-/// The stores that have told of themselves.
+/// How often the head checks the placement.
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
+/// While a group is closed, the head plans this long after a changed heartbeat, so that heartbeats of several stores
+/// are planned for together.
+const HEARTBEAT_BATCH_DELAY: Duration = Duration::from_millis(60);
+/// A store without a heartbeat for this long counts as lost.
+pub const STORE_LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// Time for which a new head waits for heartbeats before it plans or answers for the stores.
+pub const NEW_HEAD_HEARTBEAT_WAIT: Duration = Duration::from_millis(1_300);
+/// Time from the first heartbeat to the first placement, so that more stores take part in it.
+const INITIAL_PLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
+/// Number of batch job ids that are remembered for each group; the oldest are dropped.
+const MAX_JOB_IDS_PER_GROUP: usize = 2_048;
+/// Time for which the last report of a silent store is remembered.
+const LAST_REPORT_TTL: Duration = Duration::from_secs(24 * 3_600);
+
+/// Tracks the heartbeats of the stores on this machine.
 #[derive(Default)]
-pub struct Presence {
-    heard: RefCell<HashMap<Identity, HeardAt>>,
-    /// Of every store that was heard here within [`REMEMBERED_FOR`], also of those that are silent.
-    last: RefCell<HashMap<Identity, LastTold>>,
-    /// Names of batch jobs by group, the newest last.
-    names: RefCell<BTreeMap<GroupNumber, VecDeque<String>>>,
-    /// A store told something new of its groups, or is new: matters while a group is closed.
-    news: Notify,
+pub struct HeartbeatTracker {
+    /// The newest heartbeat of each store, without stores known to be lost.
+    stores: RefCell<HashMap<Identity, ReceivedHeartbeat>>,
+    /// The last report of every store heard within [`LAST_REPORT_TTL`], also of silent ones.
+    last_reports: RefCell<HashMap<Identity, StoreReport>>,
+    /// Ids of accepted batch jobs by group, the newest last.
+    job_ids: RefCell<BTreeMap<GroupNumber, VecDeque<String>>>,
+    /// Notified when a store is new or reports something new about its groups; used while a group is closed.
+    changed: Notify,
 }
 
-struct HeardAt {
-    heard: Heard,
+struct ReceivedHeartbeat {
+    store: Heard,
     at: Instant,
 }
 
-struct LastTold {
+struct StoreReport {
     at: Instant,
-    entries: HashMap<GroupNumber, u64>,
+    /// Number of entries in each group.
+    entry_counts: HashMap<GroupNumber, u64>,
 }
 
-/// What a store was heard to tell of a group.
+/// The last report of a store about a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LastWord {
-    /// None where it was never heard.
+pub struct LastReport {
+    /// Time since the store's last heartbeat; `None` if this machine never received one.
     pub silent_for: Option<Duration>,
+    /// Number of entries that the store has in the group, if it reported one.
     pub entries: Option<u64>,
 }
 
-impl Presence {
-    /// A store told of itself.
-    pub fn record(&self, told: StoreHeartbeat) {
-        let StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted } = told;
-        self.take_names(accepted);
+impl HeartbeatTracker {
+    /// Records a store's heartbeat.
+    pub fn record(&self, heartbeat: StoreHeartbeat) {
+        let StoreHeartbeat { store, entry_counts, accepted_jobs } = heartbeat;
+        self.record_job_ids(accepted_jobs);
         let at = Instant::now();
-        let identity = heard.member.identity.clone();
+        let identity = store.member.identity.clone();
         {
-            let mut last = self.last.borrow_mut();
-            last.retain(|_, last| last.at.elapsed() < REMEMBERED_FOR);
-            let told =
-                last.entry(identity.clone()).or_insert_with(|| LastTold { at, entries: HashMap::new() });
-            told.at = at;
-            told.entries.extend(entries);
+            let mut last_reports = self.last_reports.borrow_mut();
+            last_reports.retain(|_, report| report.at.elapsed() < LAST_REPORT_TTL);
+            let report = last_reports
+                .entry(identity.clone())
+                .or_insert_with(|| StoreReport { at, entry_counts: HashMap::new() });
+            report.at = at;
+            report.entry_counts.extend(entry_counts);
         }
-        let before = self.heard.borrow_mut().insert(identity, HeardAt { heard: heard.clone(), at });
-        if before.is_none_or(|before| before.heard != heard) {
-            self.news.notify_one();
+        let previous =
+            self.stores.borrow_mut().insert(identity, ReceivedHeartbeat { store: store.clone(), at });
+        if previous.is_none_or(|previous| previous.store != store) {
+            self.changed.notify_one();
         }
     }
 
-    fn take_names(&self, accepted: Vec<(GroupNumber, Vec<String>)>) {
-        let mut names = self.names.borrow_mut();
-        for (group, accepted) in accepted {
-            let known = names.entry(group).or_default();
+    fn record_job_ids(&self, accepted_jobs: Vec<(GroupNumber, Vec<String>)>) {
+        let mut job_ids = self.job_ids.borrow_mut();
+        for (group, accepted) in accepted_jobs {
+            let known = job_ids.entry(group).or_default();
             known.extend(accepted);
-            let surplus = known.len().saturating_sub(MOST_NAMES);
+            let surplus = known.len().saturating_sub(MAX_JOB_IDS_PER_GROUP);
             known.drain(..surplus);
         }
     }
 
-    /// Names of batch jobs that the stores told of a group.
-    pub fn names(&self, group: GroupNumber) -> BTreeSet<String> {
-        self.names.borrow().get(&group).into_iter().flatten().cloned().collect()
+    /// Returns the ids of a group's batch jobs that stores reported to this machine.
+    pub fn job_ids(&self, group: GroupNumber) -> BTreeSet<String> {
+        self.job_ids.borrow().get(&group).into_iter().flatten().cloned().collect()
     }
 
-    /// What a store told last of a group.
-    pub fn last_word(&self, store: &Identity, group: GroupNumber) -> LastWord {
-        let last = self.last.borrow();
-        let told = last.get(store);
-        LastWord {
-            silent_for: told.map(|told| told.at.elapsed()),
-            entries: told.and_then(|told| told.entries.get(&group).copied()),
+    /// Returns the last report of a store about a group.
+    pub fn last_report(&self, store: &Identity, group: GroupNumber) -> LastReport {
+        let last_reports = self.last_reports.borrow();
+        let report = last_reports.get(store);
+        LastReport {
+            silent_for: report.map(|report| report.at.elapsed()),
+            entries: report.and_then(|report| report.entry_counts.get(&group).copied()),
         }
     }
 
-    /// The stores heard of late, in a fixed order.
-    pub fn fresh(&self) -> Vec<Heard> {
-        let mut stores = self.heard.borrow_mut();
-        stores.retain(|_, heard| heard.at.elapsed() < LOST_AFTER);
-        let mut fresh: Vec<Heard> = stores.values().map(|heard| heard.heard.clone()).collect();
-        fresh.sort_by(|left, right| left.member.identity.cmp(&right.member.identity));
-        fresh
+    /// Returns the stores that sent a heartbeat within [`STORE_LIVENESS_TIMEOUT`], in the order of their identities.
+    pub fn live_stores(&self) -> Vec<Heard> {
+        let mut stores = self.stores.borrow_mut();
+        stores.retain(|_, heartbeat| heartbeat.at.elapsed() < STORE_LIVENESS_TIMEOUT);
+        let mut live_stores: Vec<Heard> = stores.values().map(|heartbeat| heartbeat.store.clone()).collect();
+        live_stores.sort_by(|left, right| left.member.identity.cmp(&right.member.identity));
+        live_stores
     }
 }
 
-/// Plans without end, while this machine is the head.
+/// Keeps the placement up to date while this machine is the head. Never returns.
 pub async fn maintain_placement(core: Rc<Core>) {
-    let mut first_heard: Option<Instant> = None;
+    let mut first_heartbeat_at: Option<Instant> = None;
     loop {
-        let closed = core.committed_state().is_some_and(|state| state.small.stores.has_closed_groups());
-        match closed {
-            true if timeout(PLAN_EVERY, core.presence.news.notified()).await.is_ok() => {
-                sleep(GATHER_FOR).await
+        let has_closed_group =
+            core.committed_state().is_some_and(|state| state.metadata.stores.has_closed_groups());
+        match has_closed_group {
+            true if timeout(PLAN_INTERVAL, core.heartbeats.changed.notified()).await.is_ok() => {
+                sleep(HEARTBEAT_BATCH_DELAY).await
             }
             true => {}
-            false => sleep(PLAN_EVERY).await,
+            false => sleep(PLAN_INTERVAL).await,
         }
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < HEAD_PATIENCE && core.epoch() > 1 {
+        if !core.is_head()
+            || !core.is_confirmed()
+            || core.time_in_view() < NEW_HEAD_HEARTBEAT_WAIT && core.epoch() > 1
+        {
             continue;
         }
-        let fresh = core.presence.fresh();
-        if !fresh.is_empty() {
-            first_heard = first_heard.or(Some(Instant::now()));
+        let live_stores = core.heartbeats.live_stores();
+        if !live_stores.is_empty() {
+            first_heartbeat_at = first_heartbeat_at.or(Some(Instant::now()));
         }
-        let may_begin = first_heard.is_some_and(|at| at.elapsed() > FIRST_WAIT);
-        let losses = core.settings.tolerate.tolerated_failures();
+        let may_place_first = first_heartbeat_at.is_some_and(|at| at.elapsed() > INITIAL_PLACEMENT_DELAY);
+        let tolerated_failures = core.settings.tolerate.tolerated_failures();
         let Some(state) = core.committed_state() else { continue };
-        record_names(&core, &state, &fresh).await;
-        let Some(change) = planned(&state, &fresh, losses, may_begin) else { continue };
+        record_lost_jobs(&core, &state, &live_stores).await;
+        let Some(change) = plan_change(&state, &live_stores, tolerated_failures, may_place_first) else {
+            continue;
+        };
         if let StateChange::Placement { stores: Some(next), .. } = &change {
-            log_changes(&state.small.stores, next, &fresh);
+            log_view_changes(&state.metadata.stores, next, &live_stores);
         }
-        let written = core.write(|state| planned(state, &fresh, losses, may_begin).ok_or(())).await;
+        let written = core
+            .write(|state| plan_change(state, &live_stores, tolerated_failures, may_place_first).ok_or(()))
+            .await;
         if let Err(reason) = written {
-            log::warn!("the stores' view is not changed: {reason}");
+            log::warn!("placement not changed, planning again: {reason}");
         }
     }
 }
 
-/// Puts the names of batch jobs on record whose holders are all silent: nobody else may know them any more.
-async fn record_names(core: &Rc<Core>, state: &ControlState, heard: &[Heard]) {
-    let view = &state.small.stores;
-    let is_heard = |number: &StoreNumber| {
+/// Records the ids of the batch jobs of groups whose holders are all silent: if such a group is given up, only this
+/// record tells which jobs were lost.
+async fn record_lost_jobs(core: &Rc<Core>, state: &ControlState, live_stores: &[Heard]) {
+    let view = &state.metadata.stores;
+    let is_live = |number: &StoreNumber| {
         let store = view.store(*number);
-        store.is_some_and(|store| heard.iter().any(|heard| heard.member.identity == store.member.identity))
+        store
+            .is_some_and(|store| live_stores.iter().any(|live| live.member.identity == store.member.identity))
     };
-    let lost = GroupNumber::all().filter(|group| {
+    let groups_at_risk = GroupNumber::all().filter(|group| {
         let holders = view.holders_on_record(*group);
-        !holders.is_empty() && !holders.iter().any(is_heard)
+        !holders.is_empty() && !holders.iter().any(is_live)
     });
-    let names: BTreeMap<GroupNumber, BTreeSet<String>> = lost
-        .map(|group| (group, core.presence.names(group)))
-        .filter(|(group, names)| !names.is_empty() && !names.is_subset(&state.small.names_of(*group)))
+    let lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>> = groups_at_risk
+        .map(|group| (group, core.heartbeats.job_ids(group)))
+        .filter(|(group, lost_jobs)| {
+            !lost_jobs.is_empty() && !lost_jobs.is_subset(&state.metadata.lost_jobs_of(*group))
+        })
         .collect();
-    if names.is_empty() {
+    if lost_jobs.is_empty() {
         return;
     }
-    log::error!("all stores that hold the groups {:?} are silent", names.keys().collect::<Vec<_>>());
-    if let Err(reason) = core.write(|_| Ok::<_, ()>(StateChange::Names { names })).await {
-        log::warn!("names of batch jobs are not on record: {reason}");
+    log::error!(
+        "all stores that hold the groups {:?} are silent: the groups stay closed until a holder returns or an operator gives them up",
+        lost_jobs.keys().collect::<Vec<_>>()
+    );
+    if let Err(reason) = core.write(|_| Ok::<_, ()>(StateChange::RecordLostJobs { lost_jobs })).await {
+        log::warn!("ids of batch jobs in groups without a live holder not recorded, trying again: {reason}");
     }
 }
 
-/// The change to make, or none if the placement and the retirements are as they should be.
-fn planned(state: &ControlState, heard: &[Heard], losses: usize, may_begin: bool) -> Option<StateChange> {
-    let view = &state.small.stores;
-    let stores = Planner::new(losses, heard, may_begin).plan(view);
+/// Returns the change that brings placement and retirements up to date, or `None` if they are.
+fn plan_change(
+    state: &ControlState,
+    live_stores: &[Heard],
+    tolerated_failures: usize,
+    may_place_first: bool,
+) -> Option<StateChange> {
+    let view = &state.metadata.stores;
+    let stores = Planner::new(tolerated_failures, live_stores, may_place_first).plan(view);
     let running =
-        state.small.retirements.iter().filter(|(_, retirement)| **retirement == Retirement::Running);
-    let is_empty = |node: &str| view.by_node(node).is_none_or(|store| !view.holds_data(store.number));
-    let emptied: Vec<String> = running.map(|(node, _)| node.clone()).filter(|node| is_empty(node)).collect();
+        state.metadata.retirements.iter().filter(|(_, retirement)| **retirement == Retirement::Running);
+    let holds_nothing = |node: &str| view.by_node(node).is_none_or(|store| !view.holds_data(store.number));
+    let emptied: Vec<String> =
+        running.map(|(node, _)| node.clone()).filter(|node| holds_nothing(node)).collect();
     let changed = stores.is_some() || !emptied.is_empty();
     changed.then_some(StateChange::Placement { stores, emptied })
 }
 
-/// One line for each group whose stores change, and who was heard.
-fn log_changes(view: &StoreView, next: &StoreView, heard: &[Heard]) {
+/// Logs one line for each group whose stores change, with the stores that are live.
+fn log_view_changes(view: &StoreView, next: &StoreView, live_stores: &[Heard]) {
     if !log::log_enabled!(log::Level::Info) {
         return;
     }
-    let nodes: Vec<&str> = heard.iter().map(|heard| heard.member.identity.node.as_str()).collect();
+    let nodes: Vec<&str> = live_stores.iter().map(|store| store.member.identity.node.as_str()).collect();
     for number in GroupNumber::all() {
         let (was, is) = (view.group(number), next.group(number));
         if was != is {
-            log::info!("view {}: group {} was {was:?}, is {is:?}; heard: {nodes:?}", next.epoch, number.0);
+            log::info!(
+                "store view {}: group {} was {was:?}, is {is:?}; live stores: {nodes:?}",
+                next.epoch,
+                number.0
+            );
         }
     }
 }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -83,8 +83,8 @@
             spawn_local(core.handle_message(*envelope));
             Reply::Acknowledged
         }
-        Request::StoreHeartbeat(presence) => {
-            core.presence.record(presence);
+        Request::StoreHeartbeat(heartbeats) => {
+            core.heartbeats.record(heartbeats);
             Reply::Acknowledged
         }
         Request::Usage(report) => {
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -1,4 +1,4 @@
-//! The control state and how changes change it. Pure.
+//! The control state, which the core replicates, and the changes to it. Does no I/O and reads no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use fennelgauge_wire::{decode, encode, ChangeKind, ConfigurationChange};
 use serde::{Deserialize, Serialize};
 
-/// Orders whose content is remembered, so that one sent again is known.
-const ORDERS_KEPT: usize = 512;
-/// Usage windows whose counts are kept after they were fixed.
-const WINDOWS_KEPT: usize = 16;
-/// A longer change goes along the chain packed.
-const LONGEST_UNPACKED: usize = 2 << 10;
-/// No configuration is longer.
-const MOST_BYTES: usize = 64 << 20;
-/// Groups that were given up are kept on record, the newest of them.
-const GIVEN_UP_KEPT: usize = 256;
+/// Number of configuration changes whose digests are remembered, so that a change sent again is recognized.
+const MAX_REMEMBERED_CHANGES: usize = 512;
+/// Number of usage windows whose committed counts are kept.
+const MAX_USAGE_WINDOWS: usize = 16;
+/// Size in bytes above which a change is compressed for the chain.
+const COMPRESSION_THRESHOLD_BYTES: usize = 2 << 10;
+/// Limit on the size of a decompressed configuration or change, in bytes.
+const MAX_DECOMPRESSED_BYTES: usize = 64 << 20;
+/// Number of records of given-up groups that are kept.
+const MAX_GIVEN_UP_RECORDS: usize = 256;
 
-/// A configuration as the operator wrote it, shared by all versions that have it.
+/// The text of a configuration as the operator sent it, with its digest. Clones share the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedConfiguration {
     json: Arc<[u8]>,
@@ -28,14 +28,17 @@
 }
 
 impl SharedConfiguration {
+    /// Takes a configuration's JSON text and computes its digest.
     pub fn new(json: Vec<u8>) -> Self {
         Self { digest: content_digest(&json), json: json.into() }
     }
 
+    /// Returns the JSON text.
     pub fn json(&self) -> &[u8] {
         &self.json
     }
 
+    /// Returns the digest of the text.
     pub fn digest(&self) -> u128 {
         self.digest
     }
@@ -47,233 +50,234 @@
     }
 }
 
-/// All that the core agrees on.
+/// Everything that the core replicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlState {
-    /// Empty before the first.
+    /// The current configuration; empty before the first one.
     pub configuration: SharedConfiguration,
-    pub small: SmallState,
+    /// Everything else.
+    pub metadata: ControlMetadata,
 }
 
-/// All but the configuration: what changes without it.
+/// The control state other than the text of the configuration. It is small, and changes without the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SmallState {
+pub struct ControlMetadata {
+    /// Generation of the current configuration; 0 before the first one.
     pub generation: u64,
-    /// Oldest first.
-    orders: Vec<TakenOrder>,
-    /// The highest base among the orders that are remembered no more.
-    forgotten_base: Option<u64>,
+    /// The newest applied configuration changes, oldest first.
+    applied_changes: Vec<AppliedChange>,
+    /// The highest base generation of the applied changes that are no longer in `applied_changes`.
+    max_forgotten_base: Option<u64>,
+    /// The stores and the placement of groups on them.
     pub stores: StoreView,
-    /// Nodes that were asked to be emptied, and whether they are.
+    /// Store nodes that an operator retires, and whether their groups have been moved away.
     pub retirements: BTreeMap<String, Retirement>,
-    /// Counts of usage windows, fixed before they are first reported.
+    /// Committed request counts by usage window and tenant. A window's counts never change.
     pub usage: BTreeMap<u64, BTreeMap<String, u64>>,
-    /// Oldest first.
+    /// Groups that operators gave up, oldest first.
     given_up: Vec<GivenUp>,
-    /// Names of batch jobs of groups whose holders were all silent.
-    names: BTreeMap<GroupNumber, BTreeSet<String>>,
+    /// Ids of batch jobs that would be lost with their group, recorded while all holders of the group were silent.
+    lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>>,
 }
 
-impl SmallState {
-    /// Whether that very order was carried out.
+impl ControlMetadata {
+    /// Returns true if exactly this order to give up a group was carried out.
     pub fn has_given_up(&self, order: &GiveUp) -> bool {
         self.given_up.iter().any(|given_up| given_up.order == *order)
     }
 
-    /// Names of a group's batch jobs that are on record.
-    pub fn names_of(&self, group: GroupNumber) -> BTreeSet<String> {
-        self.names.get(&group).cloned().unwrap_or_default()
+    /// Returns the recorded ids of a group's batch jobs that would be lost with it.
+    pub fn lost_jobs_of(&self, group: GroupNumber) -> BTreeSet<String> {
+        self.lost_jobs.get(&group).cloned().unwrap_or_default()
     }
 
-    /// When and by which orders a group was given up, oldest first.
-    pub fn given_up_of(&self, group: GroupNumber) -> Vec<GivenUp> {
+    /// Returns the records of a group having been given up, oldest first.
+    pub fn given_up_records(&self, group: GroupNumber) -> Vec<GivenUp> {
         self.given_up.iter().filter(|given_up| given_up.order.group == group).cloned().collect()
     }
 }
 
-/// An order that was taken.
+/// Identifies a configuration change that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct TakenOrder {
-    /// The generation that it built on.
-    base: u64,
-    /// Of all that it said.
+struct AppliedChange {
+    /// Generation that the change was based on.
+    base_generation: u64,
+    /// Digest of the base generation, the kind and the body.
     digest: u128,
 }
 
-impl TakenOrder {
-    fn of(order: &ConfigurationChange) -> Self {
-        let mut whole = order.base_generation.to_le_bytes().to_vec();
-        whole.push(order.kind as u8);
-        whole.extend_from_slice(&order.body);
-        Self { base: order.base_generation, digest: content_digest(&whole) }
+impl AppliedChange {
+    fn from_change(change: &ConfigurationChange) -> Self {
+        let mut content = change.base_generation.to_le_bytes().to_vec();
+        content.push(change.kind as u8);
+        content.extend_from_slice(&change.body);
+        Self { base_generation: change.base_generation, digest: content_digest(&content) }
     }
 }
 
-/// How far the emptying of a store is.
+/// Progress of a store's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Retirement {
+    /// The store still holds data.
     Running,
+    /// The store holds no data any more.
     Succeeded,
 }
 
-/// One change of the control state.
+/// A change to the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateChange {
-    Order(ConfigurationChange),
-    /// Fixes the counts of a window.
-    Usage {
-        window: u64,
-        counts: BTreeMap<String, u64>,
-    },
-    /// Another placement, and nodes that are empty now.
-    Placement {
-        stores: Option<StoreView>,
-        emptied: Vec<String>,
-    },
-    /// A node is to be emptied.
-    Retire {
-        node: String,
-    },
-    /// Names of batch jobs of groups whose holders are all silent.
-    Names {
-        names: BTreeMap<GroupNumber, BTreeSet<String>>,
-    },
-    /// A group is begun anew, with nothing of what it held.
-    GiveUp {
-        given_up: GivenUp,
-        stores: StoreView,
-    },
+    /// Replaces or patches the configuration.
+    Configure(ConfigurationChange),
+    /// Commits the request counts of a usage window.
+    CommitUsage { window: u64, counts: BTreeMap<String, u64> },
+    /// Replaces the placement of groups, if `stores` is set, and marks retiring nodes that hold no data any more.
+    Placement { stores: Option<StoreView>, emptied: Vec<String> },
+    /// Begins the retirement of a store node.
+    Retire { node: String },
+    /// Records ids of batch jobs in groups whose holders are all silent.
+    RecordLostJobs { lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>> },
+    /// Replaces a group by an empty one, as an operator ordered.
+    GiveUp { given_up: GivenUp, stores: StoreView },
 }
 
 impl StateChange {
-    /// As it goes along the chain: packed if it is long.
-    pub fn written(&self) -> Vec<u8> {
+    /// Encodes the change for the chain, compressed if it is long.
+    pub fn encode_for_chain(&self) -> Vec<u8> {
         let bytes = encode(self);
-        match bytes.len() > LONGEST_UNPACKED {
-            true => encode(&Carried::Packed(compress(&bytes))),
-            false => encode(&Carried::Plain(bytes)),
+        match bytes.len() > COMPRESSION_THRESHOLD_BYTES {
+            true => encode(&EncodedChange::Compressed(compress(&bytes))),
+            false => encode(&EncodedChange::Plain(bytes)),
         }
     }
 
-    fn read(bytes: &[u8]) -> Option<Self> {
-        let unreadable = |reason: String| log::error!("a change cannot be read: {reason}");
-        let carried = decode(bytes).map_err(|reason| unreadable(reason.to_string())).ok()?;
-        let bytes = match carried {
-            Carried::Plain(bytes) => bytes,
-            Carried::Packed(bytes) => {
-                decompress(&bytes, MOST_BYTES).map_err(|reason| unreadable(reason.to_string())).ok()?
-            }
+    /// Decodes a change; logs the reason and returns `None` if that fails.
+    fn decode_from_chain(bytes: &[u8]) -> Option<Self> {
+        let log_failure = |reason: String| log::error!("control-state change cannot be decoded: {reason}");
+        let encoded = decode(bytes).map_err(|reason| log_failure(reason.to_string())).ok()?;
+        let bytes = match encoded {
+            EncodedChange::Plain(bytes) => bytes,
+            EncodedChange::Compressed(bytes) => decompress(&bytes, MAX_DECOMPRESSED_BYTES)
+                .map_err(|reason| log_failure(reason.to_string()))
+                .ok()?,
         };
-        decode(&bytes).map_err(|reason| unreadable(reason.to_string())).ok()
+        decode(&bytes).map_err(|reason| log_failure(reason.to_string())).ok()
     }
 }
 
-/// How a change goes along the chain.
+/// An encoded change, as it is sent along the chain.
 #[derive(Serialize, Deserialize)]
-enum Carried {
+enum EncodedChange {
     Plain(#[serde(with = "serde_bytes")] Vec<u8>),
-    Packed(#[serde(with = "serde_bytes")] Vec<u8>),
+    Compressed(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// What an order comes to.
+/// The decision about a configuration change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Taken before.
-    Known,
-    /// It builds on so old a generation that it may have been taken and forgotten: no clear answer.
-    Forgotten,
-    /// Builds on another generation than the current one.
+    /// The same change was applied before.
+    AlreadyApplied,
+    /// The change is based on a generation so old that it may have been applied and forgotten, so neither success nor
+    /// failure can be reported.
+    Undetermined,
+    /// The change is based on another generation than the current one.
     Conflict {
+        /// The current generation.
         current: u64,
     },
+    /// The resulting configuration is invalid; holds the reason for the operator.
     Invalid(String),
+    /// The change is valid; holds the state after it.
     New(Box<ControlState>),
 }
 
 impl ControlState {
+    /// Returns the generation of the current configuration; 0 before the first one.
     pub fn generation(&self) -> u64 {
-        self.small.generation
+        self.metadata.generation
     }
 
-    /// Decides about an order.
-    pub fn decide(&self, order: &ConfigurationChange) -> Decision {
-        let taken = TakenOrder::of(order);
-        if self.small.orders.contains(&taken) {
-            return Decision::Known;
+    /// Decides whether a configuration change can be applied.
+    pub fn decide(&self, change: &ConfigurationChange) -> Decision {
+        let applied = AppliedChange::from_change(change);
+        if self.metadata.applied_changes.contains(&applied) {
+            return Decision::AlreadyApplied;
         }
-        if order.base_generation != self.small.generation {
-            return match self.small.forgotten_base >= Some(order.base_generation) {
-                true => Decision::Forgotten,
-                false => Decision::Conflict { current: self.small.generation },
+        if change.base_generation != self.metadata.generation {
+            return match self.metadata.max_forgotten_base >= Some(change.base_generation) {
+                true => Decision::Undetermined,
+                false => Decision::Conflict { current: self.metadata.generation },
             };
         }
-        let document = match order.kind {
-            ChangeKind::Put => Document::parse(&order.body, self.small.generation),
-            ChangeKind::Patch => apply_patch(self.configuration.json(), &order.body)
-                .and_then(|json| Document::parse(&json, self.small.generation)),
+        let document = match change.kind {
+            ChangeKind::Put => Document::parse(&change.body, self.metadata.generation),
+            ChangeKind::Patch => apply_patch(self.configuration.json(), &change.body)
+                .and_then(|json| Document::parse(&json, self.metadata.generation)),
         };
         match document {
-            Ok(document) => Decision::New(Box::new(self.with_configuration(document, taken))),
+            Ok(document) => Decision::New(Box::new(self.with_configuration(document, applied))),
             Err(reason) => Decision::Invalid(reason.to_string()),
         }
     }
 
-    fn with_configuration(&self, document: Document, taken: TakenOrder) -> Self {
-        let mut small = self.small.clone();
-        small.generation = document.configuration.generation;
-        small.orders.push(taken);
-        let surplus = small.orders.len().saturating_sub(ORDERS_KEPT);
-        for forgotten in small.orders.drain(..surplus) {
-            small.forgotten_base = small.forgotten_base.max(Some(forgotten.base));
+    /// Returns the state with a new configuration, and remembers the change that led to it.
+    fn with_configuration(&self, document: Document, applied: AppliedChange) -> Self {
+        let mut metadata = self.metadata.clone();
+        metadata.generation = document.configuration.generation;
+        metadata.applied_changes.push(applied);
+        let surplus = metadata.applied_changes.len().saturating_sub(MAX_REMEMBERED_CHANGES);
+        for forgotten in metadata.applied_changes.drain(..surplus) {
+            metadata.max_forgotten_base = metadata.max_forgotten_base.max(Some(forgotten.base_generation));
         }
-        Self { configuration: SharedConfiguration::new(document.json), small }
+        Self { configuration: SharedConfiguration::new(document.json), metadata }
     }
 
-    /// The change that fixes the counts of a window; none if they are fixed.
+    /// Returns the change that commits the counts of a usage window, or `None` if the window has committed counts.
     pub fn usage_change(&self, window: u64, counts: BTreeMap<String, u64>) -> Option<StateChange> {
-        let fixed = self.small.usage.contains_key(&window);
-        (!fixed).then_some(StateChange::Usage { window, counts })
+        let is_committed = self.metadata.usage.contains_key(&window);
+        (!is_committed).then_some(StateChange::CommitUsage { window, counts })
     }
 
-    fn changed(&self, change: StateChange) -> Option<Self> {
+    /// Returns the state after a change, or `None` if the change does not apply.
+    fn with_change(&self, change: StateChange) -> Option<Self> {
         let mut next = self.clone();
         match change {
-            StateChange::Order(order) => match self.decide(&order) {
+            StateChange::Configure(change) => match self.decide(&change) {
                 Decision::New(next) => return Some(*next),
                 _ => return None,
             },
-            StateChange::Usage { window, counts } => {
-                next.small.usage.insert(window, counts);
-                while next.small.usage.len() > WINDOWS_KEPT {
-                    next.small.usage.pop_first();
+            StateChange::CommitUsage { window, counts } => {
+                next.metadata.usage.insert(window, counts);
+                while next.metadata.usage.len() > MAX_USAGE_WINDOWS {
+                    next.metadata.usage.pop_first();
                 }
             }
             StateChange::Placement { stores, emptied } => {
                 if let Some(stores) = stores {
-                    next.small.stores = stores;
+                    next.metadata.stores = stores;
                 }
                 for node in emptied {
-                    next.small.retirements.insert(node, Retirement::Succeeded);
+                    next.metadata.retirements.insert(node, Retirement::Succeeded);
                 }
             }
             StateChange::Retire { node } => {
-                let stores = &mut next.small.stores;
+                let stores = &mut next.metadata.stores;
                 let store = stores.stores.iter_mut().find(|store| store.member.identity.node == node)?;
                 store.retiring = true;
                 stores.epoch += 1;
-                next.small.retirements.insert(node, Retirement::Running);
+                next.metadata.retirements.insert(node, Retirement::Running);
             }
-            StateChange::Names { names } => {
-                for (group, names) in names {
-                    next.small.names.entry(group).or_default().extend(names);
+            StateChange::RecordLostJobs { lost_jobs } => {
+                for (group, job_ids) in lost_jobs {
+                    next.metadata.lost_jobs.entry(group).or_default().extend(job_ids);
                 }
             }
             StateChange::GiveUp { given_up, stores } => {
-                next.small.names.remove(&given_up.order.group);
-                next.small.stores = stores;
-                next.small.given_up.push(given_up);
-                let surplus = next.small.given_up.len().saturating_sub(GIVEN_UP_KEPT);
-                next.small.given_up.drain(..surplus);
+                next.metadata.lost_jobs.remove(&given_up.order.group);
+                next.metadata.stores = stores;
+                next.metadata.given_up.push(given_up);
+                let surplus = next.metadata.given_up.len().saturating_sub(MAX_GIVEN_UP_RECORDS);
+                next.metadata.given_up.drain(..surplus);
             }
         }
         Some(next)
@@ -282,25 +286,29 @@
 
 impl Replicated for ControlState {
     fn apply(&self, change: &[u8]) -> Option<Self> {
-        self.changed(StateChange::read(change)?)
+        self.with_change(StateChange::decode_from_chain(change)?)
     }
 
     fn encode(&self) -> Vec<u8> {
-        encode(&(serde_bytes::ByteBuf::from(compress(self.configuration.json())), &self.small))
+        encode(&(serde_bytes::ByteBuf::from(compress(self.configuration.json())), &self.metadata))
     }
 
     fn decode(bytes: &[u8]) -> Option<Self> {
-        let decoded: Result<(serde_bytes::ByteBuf, SmallState), _> = decode(bytes);
-        let (json, small) = decoded.map_err(|reason| log::error!("a copy cannot be read: {reason}")).ok()?;
-        let json = decompress(&json, MOST_BYTES)
-            .map_err(|reason| log::error!("a copy cannot be read: {reason}"))
+        let decoded: Result<(serde_bytes::ByteBuf, ControlMetadata), _> = decode(bytes);
+        let log_failure = |reason: String| {
+            log::error!("control state received from another member cannot be decoded: {reason}")
+        };
+        let (json, metadata) = decoded.map_err(|reason| log_failure(reason.to_string())).ok()?;
+        let json = decompress(&json, MAX_DECOMPRESSED_BYTES)
+            .map_err(|reason| log_failure(reason.to_string()))
             .ok()?;
-        Some(Self { configuration: SharedConfiguration::new(json), small })
+        Some(Self { configuration: SharedConfiguration::new(json), metadata })
     }
 
-    /// Of the configuration's digest and all else: a small change does not read the configuration again.
+    /// Digests the configuration's digest and the metadata, so that a change of the metadata does not read the
+    /// configuration again.
     fn digest(&self) -> u128 {
-        content_digest(&encode(&(self.configuration.digest, &self.small)))
+        content_digest(&encode(&(self.configuration.digest, &self.metadata)))
     }
 }
 
--- a/crates/control-plane/src/state/tests.rs
+++ b/crates/control-plane/src/state/tests.rs
@@ -1,54 +1,58 @@
 use super::*;
 
-fn order(base: u64, generation: u64, note: &str) -> ConfigurationChange {
+fn put(base_generation: u64, generation: u64, note: &str) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"note":"{note}","routes":[],"services":[]}}"#);
-    ConfigurationChange { kind: ChangeKind::Put, base_generation: base, body: body.into_bytes() }
+    ConfigurationChange { kind: ChangeKind::Put, base_generation, body: body.into_bytes() }
 }
 
-fn taken(state: &ControlState, order: &ConfigurationChange) -> ControlState {
-    state.apply(&StateChange::Order(order.clone()).written()).expect("taken")
+fn applied(state: &ControlState, change: &ConfigurationChange) -> ControlState {
+    state.apply(&StateChange::Configure(change.clone()).encode_for_chain()).expect("applied")
 }
 
 #[test]
-fn orders_are_decided_by_what_they_build_on_and_by_their_content() {
-    let first = order(0, 3, "a");
-    let state = taken(&ControlState::default(), &first);
-    let state = taken(&state, &order(3, 7, "b"));
-    let same_number = order(3, 7, "c");
+fn changes_are_decided_by_base_generation_and_content() {
+    let first = put(0, 3, "a");
+    let state = applied(&ControlState::default(), &first);
+    let state = applied(&state, &put(3, 7, "b"));
+    let same_generation = put(3, 7, "c");
     let cases = [
-        ("sent again", order(3, 7, "b"), Decision::Known),
-        ("sent again after another was taken", first, Decision::Known),
-        ("the same number, another content", same_number, Decision::Conflict { current: 7 }),
-        ("a version that is not current", order(5, 9, "d"), Decision::Conflict { current: 7 }),
+        ("sent again", put(3, 7, "b"), Decision::AlreadyApplied),
+        ("sent again after another change was applied", first, Decision::AlreadyApplied),
+        ("same generation, other content", same_generation, Decision::Conflict { current: 7 }),
+        (
+            "based on another generation than the current one",
+            put(5, 9, "d"),
+            Decision::Conflict { current: 7 },
+        ),
     ];
-    for (what, order, expected) in cases {
-        assert_eq!(state.decide(&order), expected, "{what}");
+    for (name, change, expected) in cases {
+        assert_eq!(state.decide(&change), expected, "{name}");
     }
-    assert!(matches!(state.decide(&order(7, 7, "e")), Decision::Invalid(_)));
-    assert!(matches!(state.decide(&order(7, 8, "e")), Decision::New(_)));
-    let patch = ConfigurationChange { kind: ChangeKind::Patch, ..order(7, 8, "e") };
-    let put = ConfigurationChange { kind: ChangeKind::Put, ..order(7, 8, "e") };
-    let state = taken(&state, &put);
-    assert_eq!(state.decide(&put), Decision::Known);
-    assert_eq!(state.decide(&patch), Decision::Conflict { current: 8 }, "another kind of order");
+    assert!(matches!(state.decide(&put(7, 7, "e")), Decision::Invalid(_)));
+    assert!(matches!(state.decide(&put(7, 8, "e")), Decision::New(_)));
+    let patch = ConfigurationChange { kind: ChangeKind::Patch, ..put(7, 8, "e") };
+    let put = ConfigurationChange { kind: ChangeKind::Put, ..put(7, 8, "e") };
+    let state = applied(&state, &put);
+    assert_eq!(state.decide(&put), Decision::AlreadyApplied);
+    assert_eq!(state.decide(&patch), Decision::Conflict { current: 8 }, "another kind of change");
 }
 
 #[test]
-fn what_is_remembered_no_more_is_never_refused() {
+fn change_that_may_have_been_forgotten_is_undetermined() {
     let mut state = ControlState::default();
-    let old = order(0, 1, "first");
-    state = taken(&state, &old);
-    for generation in 2..=(ORDERS_KEPT as u64 + 1) {
-        state = taken(&state, &order(generation - 1, generation, "next"));
+    let old = put(0, 1, "first");
+    state = applied(&state, &old);
+    for generation in 2..=(MAX_REMEMBERED_CHANGES as u64 + 1) {
+        state = applied(&state, &put(generation - 1, generation, "next"));
     }
-    assert_eq!(state.decide(&old), Decision::Forgotten, "it may be one that was taken");
-    assert!(matches!(state.decide(&order(1, 2, "other")), Decision::Conflict { .. }));
-    assert_eq!(state.decide(&order(1, 2, "next")), Decision::Known);
+    assert_eq!(state.decide(&old), Decision::Undetermined, "it may be one that was applied");
+    assert!(matches!(state.decide(&put(1, 2, "other")), Decision::Conflict { .. }));
+    assert_eq!(state.decide(&put(1, 2, "next")), Decision::AlreadyApplied);
 }
 
 #[test]
-fn a_copy_is_the_same_state() {
-    let state = taken(&ControlState::default(), &order(0, 3, "a"));
+fn decoded_state_equals_the_encoded_one() {
+    let state = applied(&ControlState::default(), &put(0, 3, "a"));
     let copy = ControlState::decode(&state.encode()).expect("read");
     assert_eq!(copy, state);
     assert_eq!(copy.digest(), state.digest());
@@ -57,19 +61,19 @@
 }
 
 #[test]
-fn a_change_that_cannot_be_read_or_applied_changes_nothing() {
-    let state = taken(&ControlState::default(), &order(0, 3, "a"));
+fn change_that_cannot_be_decoded_or_applied_is_rejected() {
+    let state = applied(&ControlState::default(), &put(0, 3, "a"));
     assert_eq!(state.apply(b""), None);
-    assert_eq!(state.apply(&StateChange::Order(order(0, 9, "late")).written()), None);
-    assert_eq!(state.apply(&StateChange::Retire { node: "nobody".to_owned() }.written()), None);
+    assert_eq!(state.apply(&StateChange::Configure(put(0, 9, "late")).encode_for_chain()), None);
+    assert_eq!(state.apply(&StateChange::Retire { node: "nobody".to_owned() }.encode_for_chain()), None);
 }
 
 #[test]
-fn counts_of_a_window_are_fixed_once() {
+fn counts_of_a_window_are_committed_once() {
     let counts = BTreeMap::from([("t".to_owned(), 4)]);
     let state = ControlState::default();
-    let change = state.usage_change(9, counts.clone()).expect("not fixed yet");
-    let state = state.apply(&change.written()).expect("fixed");
-    assert_eq!(state.small.usage.get(&9), Some(&counts));
+    let change = state.usage_change(9, counts.clone()).expect("not committed yet");
+    let state = state.apply(&change.encode_for_chain()).expect("committed");
+    assert_eq!(state.metadata.usage.get(&9), Some(&counts));
     assert_eq!(state.usage_change(9, BTreeMap::new()), None);
 }
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -15,7 +15,7 @@
 /// Shortest time between two heartbeats when there is something new to report.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(60);
 /// Timeout of a heartbeat call.
-const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
+const HEARTBEAT_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Every how many heartbeats a store reports its number of entries in each group.
 const ENTRY_COUNT_PERIOD: u32 = 8;
 
@@ -42,7 +42,8 @@
             let accepted = reported_jobs.unreported(&self, view.epoch);
             let heartbeat =
                 StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
-            let call = self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_TIMEOUT);
+            let call =
+                self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_CALL_TIMEOUT);
             match call.await {
                 Ok(_) => reported_jobs.mark_reported(accepted),
                 Err(reason) => {
