--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's API.
+//! The operator's HTTP API: configuration, retirement of stores, and groups of batch jobs. Any core member serves it and
+//! passes a request on to the head, or to the tail for reads of the configuration.
 
 mod groups;
 
@@ -16,18 +17,20 @@
 
 use crate::core::Core;
 
-/// How long an order may be on its way within the core.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(2_600);
-const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The largest body of an order, in bytes.
-pub const MAX_ORDER_BYTES: usize = 16 << 20;
+/// Timeout of a request to the head of the core.
+const HEAD_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// Timeout of a read from the tail of the core.
+const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Largest request body that the API accepts, in bytes.
+pub const MAX_REQUEST_BYTES: usize = 16 << 20;
 
-/// Whom the operator's calls reach.
+/// State of the API's handlers.
 pub struct Operator {
+    /// The core member that serves the API.
     pub core: Rc<Core>,
 }
 
-/// The routes of the API.
+/// Adds the API's routes.
 pub fn routes(service: &mut web::ServiceConfig) {
     service
         .route("/-/Config.Put", web::post().to(put))
@@ -40,20 +43,20 @@
 }
 
 async fn put(request: HttpRequest, body: Bytes, operator: Data<Operator>) -> HttpResponse {
-    operator.order(ChangeKind::Put, &request, body).await
+    operator.change_configuration(ChangeKind::Put, &request, body).await
 }
 
 async fn patch(request: HttpRequest, body: Bytes, operator: Data<Operator>) -> HttpResponse {
-    operator.order(ChangeKind::Patch, &request, body).await
+    operator.change_configuration(ChangeKind::Patch, &request, body).await
 }
 
 async fn get(operator: Data<Operator>) -> HttpResponse {
     let tail = |view: &fennelgauge_coordination::View| view.tail().cloned();
-    match operator.ask(tail, CoreRequest::ReadConfiguration, READ_TIMEOUT).await {
+    match operator.ask(tail, CoreRequest::ReadConfiguration, TAIL_READ_TIMEOUT).await {
         Some(CoreReply::Configuration(Some(ConfigurationBytes(json)))) => {
             HttpResponse::Ok().content_type("application/json").body(json)
         }
-        _ => refusal(StatusCode::SERVICE_UNAVAILABLE, "no majority of the core answers: ask again"),
+        _ => error_response(StatusCode::SERVICE_UNAVAILABLE, "no majority of the core answers: ask again"),
     }
 }
 
@@ -66,51 +69,60 @@
 }
 
 impl Operator {
-    async fn order(&self, kind: ChangeKind, request: &HttpRequest, body: Bytes) -> HttpResponse {
+    /// Applies a configuration change to the generation named by the request's base-version header.
+    async fn change_configuration(
+        &self,
+        kind: ChangeKind,
+        request: &HttpRequest,
+        body: Bytes,
+    ) -> HttpResponse {
         let base = request.headers().get(fennelgauge_upstream::BASE_VERSION);
         let base = base.and_then(|value| value.to_str().ok()?.trim().parse().ok());
         let Some(base) = base else {
-            return refusal(StatusCode::BAD_REQUEST, "X-Fennelgauge-Base-Version must be a number");
+            return error_response(StatusCode::BAD_REQUEST, "X-Fennelgauge-Base-Version must be a number");
         };
         if let Err(reason) = serde_json::from_slice::<serde::de::IgnoredAny>(&body) {
-            return refusal(StatusCode::BAD_REQUEST, &format!("the body is no whole JSON: {reason}"));
+            return error_response(StatusCode::BAD_REQUEST, &format!("the body is no whole JSON: {reason}"));
         }
         let order = ConfigurationChange { kind, base_generation: base, body: body.to_vec() };
         let head = |view: &fennelgauge_coordination::View| view.head().cloned();
-        match self.ask(head, CoreRequest::ChangeConfiguration(order), ORDER_TIMEOUT).await {
-            Some(CoreReply::ChangeConfiguration(reply)) => answered(reply),
-            _ => {
-                refusal(StatusCode::GATEWAY_TIMEOUT, "the order may have been taken: send it again unchanged")
-            }
+        match self.ask(head, CoreRequest::ChangeConfiguration(order), HEAD_REQUEST_TIMEOUT).await {
+            Some(CoreReply::ChangeConfiguration(reply)) => change_response(reply),
+            _ => error_response(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the order may have been taken: send it again unchanged",
+            ),
         }
     }
 
+    /// Starts a retirement or reads its progress; `starts` says which of the two.
     async fn retire(&self, request: CoreRequest, starts: bool) -> HttpResponse {
         let head = |view: &fennelgauge_coordination::View| view.head().cloned();
-        let reply = match self.ask(head, request, ORDER_TIMEOUT).await {
+        let reply = match self.ask(head, request, HEAD_REQUEST_TIMEOUT).await {
             Some(CoreReply::Retire(reply)) => reply,
             _ => RetireReply::Unavailable,
         };
         match reply {
             RetireReply::Running if starts => HttpResponse::Ok().finish(),
-            RetireReply::Running => state("running"),
-            RetireReply::Succeeded => state("succeeded"),
-            RetireReply::UnknownNode => refusal(StatusCode::NOT_FOUND, "no store has that name"),
+            RetireReply::Running => state_response("running"),
+            RetireReply::Succeeded => state_response("succeeded"),
+            RetireReply::UnknownNode => error_response(StatusCode::NOT_FOUND, "no store has that name"),
             RetireReply::TooFewStores => {
-                refusal(StatusCode::CONFLICT, "too few stores would be left: add one first")
+                error_response(StatusCode::CONFLICT, "too few stores would be left: add one first")
             }
             RetireReply::Unavailable => {
-                refusal(StatusCode::SERVICE_UNAVAILABLE, "the core cannot say: ask again")
+                error_response(StatusCode::SERVICE_UNAVAILABLE, "the core cannot say: ask again")
             }
         }
     }
 
-    /// Asks the member of the newest view known here.
+    /// Sends a request to the member that `member` picks from the newest view known here. Returns `None` if there is no
+    /// such member or it does not answer in time.
     async fn ask(
         &self,
         member: impl Fn(&fennelgauge_coordination::View) -> Option<Member>,
         request: CoreRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Option<CoreReply> {
         let known = self.core.known.view();
         let view = match known {
@@ -119,34 +131,39 @@
         };
         let member = member(&view).filter(|_| view.epoch > 0)?;
         if member.identity == self.core.me.identity {
-            return tokio::time::timeout(within, self.core.answer(request)).await.ok();
+            return tokio::time::timeout(timeout, self.core.answer(request)).await.ok();
         }
-        match self.core.caller.call(member.peer, Request::Core(request), within).await {
+        match self.core.caller.call(member.peer, Request::Core(request), timeout).await {
             Ok(Reply::Core(reply)) => Some(reply),
             _ => None,
         }
     }
 }
 
-fn answered(reply: ChangeReply) -> HttpResponse {
+/// Returns the response to a configuration change.
+fn change_response(reply: ChangeReply) -> HttpResponse {
     match reply {
         ChangeReply::Acknowledged => HttpResponse::Ok().finish(),
         ChangeReply::Conflict { current_generation: current } => {
             let reason = format!("version {current} is current: build on it");
-            refusal(StatusCode::PRECONDITION_FAILED, &reason)
+            error_response(StatusCode::PRECONDITION_FAILED, &reason)
         }
-        ChangeReply::Invalid(reason) => refusal(StatusCode::BAD_REQUEST, &reason),
-        ChangeReply::Unavailable => refusal(StatusCode::SERVICE_UNAVAILABLE, "not taken: send it again"),
-        ChangeReply::OutcomeUnknown => {
-            refusal(StatusCode::GATEWAY_TIMEOUT, "the order may have been taken: send it again unchanged")
+        ChangeReply::Invalid(reason) => error_response(StatusCode::BAD_REQUEST, &reason),
+        ChangeReply::Unavailable => {
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "not taken: send it again")
         }
+        ChangeReply::OutcomeUnknown => error_response(
+            StatusCode::GATEWAY_TIMEOUT,
+            "the order may have been taken: send it again unchanged",
+        ),
     }
 }
 
-fn state(state: &str) -> HttpResponse {
+/// Returns a response that names the state of a retirement.
+fn state_response(state: &str) -> HttpResponse {
     HttpResponse::Ok().json(serde_json::json!({ "state": state }))
 }
 
-fn refusal(status: StatusCode, reason: &str) -> HttpResponse {
+fn error_response(status: StatusCode, reason: &str) -> HttpResponse {
     HttpResponse::build(status).json(serde_json::json!({ "error": reason }))
 }
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -1,4 +1,4 @@
-//! The operator's calls that concern a group of batch jobs: what is known of it, and giving it up.
+//! The part of the operator's API about groups of batch jobs: reading the state of a group, and giving it up.
 
 use actix_web::http::StatusCode;
 use actix_web::web::{self, Bytes, Data};
@@ -7,20 +7,22 @@
 use fennelgauge_wire::{CoreReply, CoreRequest, GiveUpReply, GroupStatus, GroupStatusReply};
 use serde::{Deserialize, Serialize};
 
-use super::{refusal, Operator, ORDER_TIMEOUT};
+use super::{error_response, Operator, HEAD_REQUEST_TIMEOUT};
 
-/// What an operator sends to give a group up.
+/// Body of a request to give up a group.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct GiveUpBody {
-    /// The stores' view at which he looked.
+    /// Epoch of the store view that the operator saw.
     view: u64,
+    /// The holders as the operator saw them.
     holders: Vec<LastHolder>,
     #[serde(default)]
+    /// Whether to give up the group although its holders have not been silent for the usual time.
     force: bool,
 }
 
-/// What an operator is told of a group.
+/// Body of the response about a group.
 #[derive(Serialize)]
 struct GroupBody {
     group: u16,
@@ -37,7 +39,7 @@
     node: String,
     entries: Option<u64>,
     heard: bool,
-    /// 0 while it is heard.
+    /// Time since the last heartbeat, in seconds; 0 while the store is live.
     silent_s: u64,
 }
 
@@ -50,60 +52,62 @@
     at_ms: u64,
 }
 
-/// `GET /-/Group.Get/GROUP`
+/// Handles `GET /-/Group.Get/GROUP`: returns the state of a group.
 pub async fn get(group: web::Path<String>, operator: Data<Operator>) -> HttpResponse {
-    let Some(group) = number(&group) else { return unknown_group(&group) };
+    let Some(group) = parse_group(&group) else { return unknown_group_response(&group) };
     let head = |view: &View| view.head().cloned();
-    match operator.ask(head, CoreRequest::GroupStatus(group), ORDER_TIMEOUT).await {
+    match operator.ask(head, CoreRequest::GroupStatus(group), HEAD_REQUEST_TIMEOUT).await {
         Some(CoreReply::GroupStatus(GroupStatusReply::Found(report))) => {
             HttpResponse::Ok().json(GroupBody::from(report))
         }
         Some(CoreReply::GroupStatus(GroupStatusReply::UnknownGroup)) => {
-            refusal(StatusCode::NOT_FOUND, "no group was placed yet, or none has that number")
+            error_response(StatusCode::NOT_FOUND, "no group was placed yet, or none has that number")
         }
-        _ => refusal(StatusCode::SERVICE_UNAVAILABLE, "the core cannot say: ask again"),
+        _ => error_response(StatusCode::SERVICE_UNAVAILABLE, "the core cannot say: ask again"),
     }
 }
 
-/// `POST /-/Group.GiveUp/GROUP`
+/// Handles `POST /-/Group.GiveUp/GROUP`: replaces a group whose holders are lost by an empty one.
 pub async fn give_up(group: web::Path<String>, body: Bytes, operator: Data<Operator>) -> HttpResponse {
-    let Some(group) = number(&group) else { return unknown_group(&group) };
+    let Some(group) = parse_group(&group) else { return unknown_group_response(&group) };
     let body: GiveUpBody = match serde_json::from_slice(&body) {
         Ok(body) => body,
         Err(reason) => {
-            return refusal(StatusCode::BAD_REQUEST, &format!("the body is no such order: {reason}"))
+            return error_response(StatusCode::BAD_REQUEST, &format!("the body is no such order: {reason}"))
         }
     };
     let order = GiveUp { group, epoch: body.view, holders: body.holders, forced: body.force };
     let head = |view: &View| view.head().cloned();
-    match operator.ask(head, CoreRequest::GiveUp(order), ORDER_TIMEOUT).await {
+    match operator.ask(head, CoreRequest::GiveUp(order), HEAD_REQUEST_TIMEOUT).await {
         Some(CoreReply::GiveUp(GiveUpReply::Done)) => HttpResponse::Ok().finish(),
-        Some(CoreReply::GiveUp(GiveUpReply::Refused(reason))) => refused(&reason),
-        Some(CoreReply::GiveUp(GiveUpReply::Unavailable)) => {
-            refusal(StatusCode::SERVICE_UNAVAILABLE, "not carried out: look at the group and send it again")
-        }
-        _ => refusal(
+        Some(CoreReply::GiveUp(GiveUpReply::Refused(reason))) => refused_response(&reason),
+        Some(CoreReply::GiveUp(GiveUpReply::Unavailable)) => error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "not carried out: look at the group and send it again",
+        ),
+        _ => error_response(
             StatusCode::GATEWAY_TIMEOUT,
             "the order may have been carried out: send it again unchanged",
         ),
     }
 }
 
-fn number(group: &str) -> Option<GroupNumber> {
+fn parse_group(group: &str) -> Option<GroupNumber> {
     group.parse().ok().map(GroupNumber)
 }
 
-fn unknown_group(group: &str) -> HttpResponse {
-    refusal(StatusCode::NOT_FOUND, &format!("{group:?} is no group: groups are numbered from 0"))
+fn unknown_group_response(group: &str) -> HttpResponse {
+    error_response(StatusCode::NOT_FOUND, &format!("{group:?} is no group: groups are numbered from 0"))
 }
 
-fn refused(reason: &GiveUpRefusal) -> HttpResponse {
+/// Returns the response to an order that the head refused.
+fn refused_response(reason: &GiveUpRefusal) -> HttpResponse {
     let status = match reason {
         GiveUpRefusal::UnknownGroup(_) => StatusCode::NOT_FOUND,
         GiveUpRefusal::OtherView { .. } => StatusCode::PRECONDITION_FAILED,
         _ => StatusCode::CONFLICT,
     };
-    refusal(status, &reason.to_string())
+    error_response(status, &reason.to_string())
 }
 
 impl From<GroupStatus> for GroupBody {
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -16,7 +16,7 @@
 
 use crate::core::Core;
 use crate::duties::{report_usage, scale_services, UsageCollector};
-use crate::operator::{routes, Operator, MAX_ORDER_BYTES};
+use crate::operator::{routes, Operator, MAX_REQUEST_BYTES};
 use crate::placement::maintain_placement;
 use crate::platform_reader::{read_server_list, watch_head};
 use crate::store;
@@ -101,7 +101,7 @@
         let listener = TcpListener::bind(control).await?;
         let operator = Data::new(Operator { core });
         let app =
-            App::new().app_data(PayloadConfig::new(MAX_ORDER_BYTES)).app_data(operator).configure(routes);
+            App::new().app_data(PayloadConfig::new(MAX_REQUEST_BYTES)).app_data(operator).configure(routes);
         spawn_local(serve_http(listener, app, HttpTimeouts::default()));
     }
     wait_for_shutdown_signal().await;
