--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -35,8 +35,8 @@
             let Some(head) = view.head() else { continue };
             let heard = Heard {
                 member: self.me.clone(),
-                copied: group_epochs(&self.copied.borrow()),
-                holds: group_epochs(&self.holds.borrow()),
+                copied: group_epochs(&self.learned_groups.borrow()),
+                holds: group_epochs(&self.held_groups.borrow()),
             };
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
@@ -71,7 +71,7 @@
         if self.core_epoch != core_epoch {
             *self = Self { core_epoch, ..Self::default() };
         }
-        let headed = store.headed(&store.view());
+        let headed = store.headed_groups(&store.view());
         self.reported.retain(|group, _| headed.contains(group));
         let unreported = headed.into_iter().map(|group| {
             let replica = store.replica(group).borrow();
--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -131,7 +131,7 @@
     /// false if that takes too long.
     async fn job_is_committed(&self, key: &ItemKey) -> bool {
         let position = self.replica(key.group).borrow().position();
-        self.committed(key.group, position, Instant::now() + COMMIT_TIMEOUT).await
+        self.wait_committed(key.group, position, Instant::now() + COMMIT_TIMEOUT).await
     }
 
     /// Returns the item with the current route, or `None` if it has a result or its job was cancelled or removed.
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -1,4 +1,4 @@
-//! Copies groups that this store is to hold, before it joins their chains.
+//! Copies groups to this store as a learner, before the store joins their chains, and serves such copies to learners.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,32 +13,35 @@
 use super::journal::Record;
 use super::Store;
 
-const LEARN_EVERY: Duration = Duration::from_millis(250);
+/// How often the groups to learn are looked for.
+const LEARN_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a request for entries or a copy.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(6);
-const COPY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Groups that are copied at a time.
-const AT_ONCE: usize = 3;
+/// Longest wait until what a learner gets is on this disk.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of groups that are copied at a time.
+const MAX_CONCURRENT_GROUPS: usize = 3;
 
 impl Store {
-    /// Copies the groups that this store learns, without end.
-    pub(super) async fn learn(self: Rc<Self>) {
+    /// Copies the groups of which this store is the learner, and keeps the copies up to date. Never returns.
+    pub(super) async fn learn_groups(self: Rc<Self>) {
         loop {
-            let _ = timeout(LEARN_EVERY, self.known.changed()).await;
+            let _ = timeout(LEARN_INTERVAL, self.known.changed()).await;
             let view = self.view();
-            let own = self.number(&view);
+            let own_number = self.own_number(&view);
             let learns = |group: &GroupNumber| {
                 let learner = view.group(*group).and_then(|held| held.learner);
-                own.is_some() && learner.map(|learner| learner.store) == own
+                own_number.is_some() && learner.map(|learner| learner.store) == own_number
             };
-            self.copied.borrow_mut().retain(|group, _| learns(group));
+            self.learned_groups.borrow_mut().retain(|group, _| learns(group));
             let groups: Vec<GroupNumber> = GroupNumber::all().filter(learns).collect();
-            for groups in groups.chunks(AT_ONCE) {
+            for groups in groups.chunks(MAX_CONCURRENT_GROUPS) {
                 let copied = groups.iter().map(|group| async {
                     let head = view.head(*group)?.member.peer;
                     self.learn_group(view.epoch, *group, head).await.then_some(*group)
                 });
                 for group in join_all(copied).await.into_iter().flatten() {
-                    let before = self.copied.borrow_mut().insert(group, view.epoch);
+                    let before = self.learned_groups.borrow_mut().insert(group, view.epoch);
                     if before.is_none() {
                         self.heartbeat_due.notify_one();
                     }
@@ -47,21 +50,21 @@
         }
     }
 
-    /// One step towards the head's state of a group; true once little is missing.
+    /// Gets entries or a copy of a group from its head. Returns true once little is missing here.
     pub(super) async fn learn_group(&self, epoch: u64, group: GroupNumber, head: SocketAddr) -> bool {
         let after = self.replica(group).borrow().position();
-        match self.ask(head, StoreRequest::FetchEntries { epoch, group, after }, FETCH_TIMEOUT).await {
+        match self.call_store(head, StoreRequest::FetchEntries { epoch, group, after }, FETCH_TIMEOUT).await {
             Some(StoreReply::Entries(batch)) => {
-                let lacked = batch.entries.len();
+                let missing_count = batch.entries.len();
                 let taken = self.replica(group).borrow_mut().learn(epoch, &batch);
                 if !taken.is_empty()
-                    && !self.journal_records(taken.into_iter().map(Record::Entry).collect()).await
+                    && !self.write_records(taken.into_iter().map(Record::Entry).collect()).await
                 {
                     return false;
                 }
                 let mut replica = self.replica(group).borrow_mut();
                 replica.mark_synced(batch.end);
-                replica.has_copied(batch.end, lacked)
+                replica.has_copied(batch.end, missing_count)
             }
             Some(StoreReply::Copy(copy)) => {
                 let installed = self.replica(group).borrow_mut().install(epoch, &copy);
@@ -72,19 +75,25 @@
         }
     }
 
-    /// What follows a place, for a learner.
-    pub(super) async fn fetch(&self, epoch: u64, group: GroupNumber, after: EntryPosition) -> StoreReply {
-        let view = self.view_of(epoch).await;
+    /// Handles a learner's request: replies with the entries after a position, or with a copy of the whole group if the
+    /// learner lacks too much.
+    pub(super) async fn fetch_entries(
+        &self,
+        epoch: u64,
+        group: GroupNumber,
+        after: EntryPosition,
+    ) -> StoreReply {
+        let view = self.wait_for_view(epoch).await;
         let role = view.and_then(|view| self.role(&view, group));
-        let until = Instant::now() + COPY_TIMEOUT;
+        let until = Instant::now() + SYNC_TIMEOUT;
         let missing = self.replica(group).borrow().missing_for_learner(role.as_ref(), group, after);
         let Some(missing) = missing else { return StoreReply::EpochMismatch(self.view().epoch) };
         match missing {
-            Missing::Entries(batch) => match self.synced(group, batch.end, until).await {
+            Missing::Entries(batch) => match self.wait_synced(group, batch.end, until).await {
                 true => StoreReply::Entries(batch),
                 false => StoreReply::Undetermined,
             },
-            Missing::Copy => match self.copy_on_disk(group, until).await {
+            Missing::Copy => match self.synced_copy(group, until).await {
                 Some(copy) => StoreReply::Copy(copy),
                 None => StoreReply::Undetermined,
             },
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -1,12 +1,13 @@
-//! A store: keeps groups of batch jobs with other stores, runs their items, answers what becomes of them.
+//! A store: replicates groups of batch jobs with other stores, runs the items of the groups that it heads, and answers
+//! submissions, cancellations and reads.
 
+mod catch_up;
 mod concurrency;
 mod counters;
 mod heartbeat;
 mod item_run;
 mod journal;
 mod learner;
-mod level;
 mod replication;
 mod run_durations;
 mod runner;
@@ -38,13 +39,15 @@
 use crate::identity::identity;
 use journal::{Journal, Record};
 
-/// A whole write is made once so much has been written since the last one, or twice its size.
-const WHOLE_WRITE_AFTER: usize = 24 << 20;
-const TRY_DISK_EVERY: Duration = Duration::from_millis(400);
-/// Work for the next view waits so long for the news of it.
-const NEWS_PATIENCE: Duration = Duration::from_millis(400);
+/// A checkpoint is written once this many bytes, or twice the size of the last checkpoint if that is more, were written
+/// since the last one.
+const MIN_CHECKPOINT_INTERVAL_BYTES: usize = 24 << 20;
+/// Time between attempts to write to a disk that failed.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// How long a request for a view that is not known here yet waits for it.
+const VIEW_WAIT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// One store.
+/// A store process: its replicas of the groups, its journal, and the items that it runs.
 pub struct Store {
     me: Member,
     settings: Rc<Settings>,
@@ -53,54 +56,66 @@
     pool: Pool,
     sender: Sender,
     journal: Journal,
+    /// This store's replicas, by group number.
     groups: Vec<RefCell<Replica>>,
-    /// The newest view in which an entry on the disk was made when this store began: it takes part in no earlier one.
-    earliest_view: u64,
+    /// The newest view in which an entry that was on the disk at start-up was made; this store takes part in no earlier one.
+    min_view_epoch: u64,
     /// Entries made here that are not handed to the journal yet.
-    pending: RefCell<Vec<Entry>>,
-    flush: Notify,
-    /// Something changed in a group.
-    changed: Notify,
-    /// The view in which a group's successor was last found level.
-    checked: RefCell<HashMap<GroupNumber, u64>>,
-    /// Groups that this store has copied as a learner, and the view of that.
-    copied: RefCell<BTreeMap<GroupNumber, u64>>,
-    /// Groups of which this store has everything, as a joining link, and the view of that.
-    holds: RefCell<BTreeMap<GroupNumber, u64>>,
-    /// There is something new to tell the head of the core.
+    pending_entries: RefCell<Vec<Entry>>,
+    /// Notified when there are pending entries.
+    flush_requested: Notify,
+    /// Notified when a replica changes.
+    group_changed: Notify,
+    /// For each group, the view in which its successor was last found to be caught up.
+    caught_up_successors: RefCell<HashMap<GroupNumber, u64>>,
+    /// Groups that this store has copied as a learner, each with the view in which it did.
+    learned_groups: RefCell<BTreeMap<GroupNumber, u64>>,
+    /// Groups of which this store has everything as a joining member of the chain, each with the view in which it had.
+    held_groups: RefCell<BTreeMap<GroupNumber, u64>>,
+    /// Notified when there is something new to report to the head of the core.
     heartbeat_due: Notify,
+    /// Items that run here.
     running: RefCell<HashMap<runner::ItemKey, AbortHandle>>,
-    /// By service.
+    /// Number of running items by service.
     running_counts: RefCell<HashMap<String, runner::RunningCount>>,
+    /// Limits on running items by service.
     concurrency_windows: RefCell<HashMap<String, concurrency::ConcurrencyWindow>>,
-    /// Batch jobs that were taken while this store was the head, as it has been ever since.
+    /// Batch jobs that this store accepted as the head, and whose groups it has headed ever since.
     accepted_here: RefCell<HashMap<String, GroupNumber>>,
     run_durations: RefCell<run_durations::RunDurations>,
     entry_counters: counters::EntryCounters,
     disk_health: Rc<DiskHealth>,
-    /// Bytes handed to the journal since the last whole write, and the size of that.
-    written: Cell<usize>,
-    whole_size: Cell<usize>,
+    /// Bytes handed to the journal since the last checkpoint.
+    bytes_since_checkpoint: Cell<usize>,
+    /// Size of the last checkpoint, in bytes.
+    checkpoint_size: Cell<usize>,
 }
 
-/// Runs a store until a signal ends it.
+/// Runs a store until a signal stops the process. Fails if the data directory cannot be read or the socket cannot be
+/// opened.
 pub async fn run(settings: Rc<Settings>) -> anyhow::Result<()> {
     let identity = identity(&settings)?;
     let store = Store::open(settings.clone(), identity)?;
     let listener = TcpListener::bind(settings.control_peer_address()).await?;
-    let answering = store.clone();
-    spawn_local(serve(listener, move |request| answer(answering.clone(), request)));
+    let answering_store = store.clone();
+    spawn_local(serve(listener, move |request| answer(answering_store.clone(), request)));
     spawn_local(subscribe(store.known.clone(), store.caller.clone(), Subscription::new(&settings)));
     spawn_local(store.clone().flush_entries());
     spawn_local(store.clone().repair_successors());
-    spawn_local(store.clone().keep_level());
-    spawn_local(store.clone().try_failed_disk());
+    spawn_local(store.clone().request_catch_up());
+    spawn_local(store.clone().retry_failed_disk());
     spawn_local(store.clone().send_heartbeats());
-    spawn_local(store.clone().learn());
+    spawn_local(store.clone().learn_groups());
     spawn_local(store.clone().run_items());
-    let life = getrandom::u64().unwrap_or(1);
-    let sharing = Subscription::new(&settings);
-    spawn_local(share_uses(store.pool.clone(), store.known.clone(), store.caller.clone(), sharing, life));
+    let incarnation = getrandom::u64().unwrap_or(1);
+    let subscription = Subscription::new(&settings);
+    spawn_local(share_uses(
+        store.pool.clone(),
+        store.known.clone(),
+        store.caller.clone(),
+        subscription,
+        incarnation,
+    ));
     spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
     wait_for_shutdown_signal().await;
     Ok(())
@@ -115,6 +130,7 @@
 }
 
 impl Store {
+    /// Opens the journal and restores the groups from its records.
     fn open(settings: Rc<Settings>, identity: Identity) -> anyhow::Result<Rc<Self>> {
         let (journal, records) = Journal::open(settings.data_dir.as_deref())?;
         let mut groups: Vec<Replica> = (0..GROUPS).map(|_| Replica::default()).collect();
@@ -124,7 +140,7 @@
         for replica in &mut groups {
             replica.mark_synced(replica.position());
         }
-        let earliest_view = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
+        let min_view_epoch = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
         let peer = settings.advertised_peer_address();
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
@@ -137,13 +153,13 @@
             known: Rc::default(),
             journal,
             groups,
-            earliest_view,
-            pending: RefCell::default(),
-            flush: Notify::new(),
-            changed: Notify::new(),
-            checked: RefCell::default(),
-            copied: RefCell::default(),
-            holds: RefCell::default(),
+            min_view_epoch,
+            pending_entries: RefCell::default(),
+            flush_requested: Notify::new(),
+            group_changed: Notify::new(),
+            caught_up_successors: RefCell::default(),
+            learned_groups: RefCell::default(),
+            held_groups: RefCell::default(),
             heartbeat_due: Notify::new(),
             running: RefCell::default(),
             running_counts: RefCell::default(),
@@ -152,29 +168,34 @@
             run_durations: RefCell::default(),
             entry_counters: counters::EntryCounters::default(),
             disk_health: Rc::default(),
-            written: Cell::new(0),
-            whole_size: Cell::new(0),
+            bytes_since_checkpoint: Cell::new(0),
+            checkpoint_size: Cell::new(0),
         }))
     }
 
+    /// Answers a request from a data plane or another store.
     async fn answer(self: &Rc<Self>, request: StoreRequest) -> StoreReply {
         match request {
-            StoreRequest::Submit { epoch, group, job, max_queued: most_queued } => {
-                self.submit(epoch, group, job, most_queued).await
+            StoreRequest::Submit { epoch, group, job, max_queued } => {
+                self.submit(epoch, group, job, max_queued).await
+            }
+            StoreRequest::Cancel { epoch, group, tenant, job } => {
+                self.cancel(epoch, group, &tenant, job).await
             }
-            StoreRequest::Cancel { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
             StoreRequest::ReadResults { epoch, group, tenant, job, start_after: start, wait_ms } => {
                 let query = Query { tenant, job, start };
-                self.read(epoch, group, query, Duration::from_millis(wait_ms)).await
+                self.read_results(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
             StoreRequest::ReadItemBody { epoch, group, tenant, job, item } => {
-                self.body(epoch, group, (&tenant, &job), &item).await
+                self.read_item_body(epoch, group, (&tenant, &job), &item).await
             }
             StoreRequest::Append { epoch, batches } => self.append(epoch, batches).await,
-            StoreRequest::Position { epoch, group } => self.position(epoch, group).await,
-            StoreRequest::RecheckGroups { epoch, groups } => self.check_again(epoch, &groups),
-            StoreRequest::FetchEntries { epoch, group, after } => self.fetch(epoch, group, after).await,
-            StoreRequest::InstallCopy { epoch, group, copy } => self.install(epoch, group, &copy).await,
+            StoreRequest::Position { epoch, group } => self.position_in_view(epoch, group).await,
+            StoreRequest::RecheckGroups { epoch, groups } => self.recheck_groups(epoch, &groups),
+            StoreRequest::FetchEntries { epoch, group, after } => {
+                self.fetch_entries(epoch, group, after).await
+            }
+            StoreRequest::InstallCopy { epoch, group, copy } => self.install_copy(epoch, group, &copy).await,
             StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
                 self.journal.counters(),
                 &self.entry_counters,
@@ -187,64 +208,68 @@
         &self.groups[usize::from(group.0) % self.groups.len()]
     }
 
-    /// The newest view known here; an empty one while only earlier ones are known than this store took part in, and while the
-    /// core was not heard for so long that this store may have been given up.
+    /// Returns the newest store view known here. Returns an empty one if this store took part in a later view before its
+    /// restart, or if it has not heard from the core for so long that it may have been given up.
     fn view(&self) -> Rc<StoreView> {
         let view = self.known.stores();
         let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE);
-        match has_lease && view.epoch >= self.earliest_view {
+        match has_lease && view.epoch >= self.min_view_epoch {
             true => view,
             false => Rc::default(),
         }
     }
 
-    /// This store's number in a view.
-    fn number(&self, view: &StoreView) -> Option<StoreNumber> {
+    /// Returns this store's number in a view.
+    fn own_number(&self, view: &StoreView) -> Option<StoreNumber> {
         let own = view.stores.iter().find(|store| store.member.identity == self.me.identity);
         own.map(|store| store.number)
     }
 
-    /// This store's part in a group; none if it is no link of the chain.
+    /// Returns this store's role in a group, or `None` if it does not belong to the group's chain.
     fn role(&self, view: &StoreView, group: GroupNumber) -> Option<Role> {
-        Role::of(view, group, self.number(view)?)
+        Role::of(view, group, self.own_number(view)?)
     }
 
-    /// The view of that epoch, waiting a little for the news of it; none if it is not the newest here.
-    async fn view_of(&self, epoch: u64) -> Option<Rc<StoreView>> {
-        let until = Instant::now() + NEWS_PATIENCE;
+    /// Returns the view with this epoch, after waiting a little for it. Returns `None` if it does not become known in time
+    /// or a later one is known.
+    async fn wait_for_view(&self, epoch: u64) -> Option<Rc<StoreView>> {
+        let until = Instant::now() + VIEW_WAIT_TIMEOUT;
         while self.view().epoch < epoch {
             timeout_at(until, self.known.changed()).await.ok()?;
         }
         Some(self.view()).filter(|view| view.epoch == epoch)
     }
 
-    /// The groups that this store heads.
-    fn headed(&self, view: &StoreView) -> Vec<GroupNumber> {
-        let Some(own) = self.number(view) else { return Vec::new() };
+    /// Returns the groups that this store heads.
+    fn headed_groups(&self, view: &StoreView) -> Vec<GroupNumber> {
+        let Some(own) = self.own_number(view) else { return Vec::new() };
         let heads =
             |group: &GroupNumber| view.group(*group).is_some_and(|held| held.chain.first() == Some(&own));
         GroupNumber::all().filter(heads).collect()
     }
 
-    /// The groups that this store may change.
+    /// Returns the groups that this store may change.
     fn writable_groups(&self, view: &StoreView) -> Vec<GroupNumber> {
-        let headed = self.headed(view).into_iter();
+        let headed = self.headed_groups(view).into_iter();
         headed.filter(|group| self.accepts_changes(view, *group)).collect()
     }
 
-    fn peer(&self, view: &StoreView, store: StoreNumber) -> Option<SocketAddr> {
+    /// Returns the address of a store in a view.
+    fn store_address(&self, view: &StoreView, store: StoreNumber) -> Option<SocketAddr> {
         view.store(store).map(|store| store.member.peer)
     }
 
-    /// Hands records to the journal, and whole copies of all groups once enough was written. Handed over when called; true
-    /// once on disk.
-    fn journal_records(&self, records: Vec<Record>) -> impl Future<Output = bool> {
+    /// Hands records to the journal, and a checkpoint if enough was written since the last one. The records are handed over
+    /// at once, also if the future is not awaited; it resolves to whether they are synced to the disk.
+    fn write_records(&self, records: Vec<Record>) -> impl Future<Output = bool> {
         let size: usize = records.iter().map(record_size).sum();
-        self.written.set(self.written.get() + size);
+        self.bytes_since_checkpoint.set(self.bytes_since_checkpoint.get() + size);
         let written = self.journal.write(&records, false);
         self.disk_health.begin();
-        if self.written.get() >= WHOLE_WRITE_AFTER.max(2 * self.whole_size.get()) {
-            drop(self.journal_all());
+        if self.bytes_since_checkpoint.get()
+            >= MIN_CHECKPOINT_INTERVAL_BYTES.max(2 * self.checkpoint_size.get())
+        {
+            drop(self.write_checkpoint());
         }
         let health = self.disk_health.clone();
         async move {
@@ -254,28 +279,28 @@
         }
     }
 
-    /// Hands whole copies of all groups to the journal: what is older may go then.
-    fn journal_all(&self) -> tokio::sync::oneshot::Receiver<bool> {
-        let whole: Vec<Record> = GroupNumber::all()
+    /// Hands snapshots of all groups to the journal, which may then delete older records.
+    fn write_checkpoint(&self) -> tokio::sync::oneshot::Receiver<bool> {
+        let snapshots: Vec<Record> = GroupNumber::all()
             .filter(|group| self.replica(*group).borrow().position().sequence > 0)
             .map(|group| Record::Snapshot { group, copy: self.replica(group).borrow().copy() })
             .collect();
-        self.whole_size.set(whole.iter().map(record_size).sum());
-        self.written.set(0);
-        self.journal.write(&whole, true)
+        self.checkpoint_size.set(snapshots.iter().map(record_size).sum());
+        self.bytes_since_checkpoint.set(0);
+        self.journal.write(&snapshots, true)
     }
 
-    /// After a failed write, tries to write everything anew until the disk takes it, without end.
-    async fn try_failed_disk(self: Rc<Self>) {
+    /// After a failed write, writes a checkpoint again and again until one succeeds. Never returns.
+    async fn retry_failed_disk(self: Rc<Self>) {
         loop {
-            sleep(TRY_DISK_EVERY).await;
+            sleep(DISK_RETRY_INTERVAL).await;
             if !self.disk_health.has_failed() {
                 continue;
             }
             let positions: Vec<_> =
                 GroupNumber::all().map(|group| self.replica(group).borrow().position()).collect();
             self.disk_health.begin();
-            let written = self.journal_all().await == Ok(true);
+            let written = self.write_checkpoint().await == Ok(true);
             self.disk_health.end(written);
             if !written {
                 continue;
@@ -283,28 +308,38 @@
             for (group, position) in GroupNumber::all().zip(positions) {
                 self.replica(group).borrow_mut().mark_synced(position);
             }
-            self.changed.notify_waiters();
+            self.group_changed.notify_waiters();
         }
     }
 }
 
+/// Applies a record of the journal to its group.
 fn restore(groups: &mut [Replica], record: Record) {
     match record {
         Record::Entry(entry) => {
             let Some(replica) = groups.get_mut(usize::from(entry.group.0)) else { return };
             if !replica.restore(&entry) {
-                log::error!("group {}: entry {:?} does not fit", entry.group.0, entry.position);
+                log::error!(
+                    "group {}: journal entry at {:?} skipped: it does not follow the entry before it or cannot be decoded",
+                    entry.group.0,
+                    entry.position
+                );
             }
         }
         Record::Snapshot { group, copy } => {
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
             if !replica.restore_copy(&copy) {
-                log::error!("group {}: its copy up to {:?} cannot be read", group.0, copy.position);
+                log::error!(
+                    "group {}: journal snapshot at {:?} skipped: it cannot be decoded",
+                    group.0,
+                    copy.position
+                );
             }
         }
     }
 }
 
+/// Returns the approximate size of a record in the journal, in bytes.
 fn record_size(record: &Record) -> usize {
     match record {
         Record::Entry(entry) => entry.command.len() + 32,
@@ -312,7 +347,7 @@
     }
 }
 
-/// Milliseconds since 1970 on this machine's clock.
+/// Returns this machine's wall-clock time in milliseconds since the Unix epoch.
 fn wall_clock_ms() -> u64 {
     wall_clock().as_millis() as u64
 }
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -1,5 +1,6 @@
-//! Entries along the chains: made at the head, on each link's disk before they go on, committed once the tail has them. What
-//! a link guarantees stands at the head of `fennelgauge_replication`.
+//! Replication of entries along the chains of stores. The head makes entries; each store writes them to its disk before it
+//! forwards them, and they are committed once the tail has them. The guarantees of each store in a chain are described
+//! in `fennelgauge_replication`.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -19,18 +20,27 @@
 use super::journal::Record;
 use super::Store;
 
-/// Entries made within so short a time go together.
-const GATHER_FOR: Duration = Duration::from_millis(6);
+/// Time for which the head collects new entries, so that they are written and sent together.
+const BATCHING_DELAY: Duration = Duration::from_millis(6);
+/// Timeout of a call that appends entries, and of a repair's wait for its next step.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Timeout of a query for a store's position in a group.
 const POSITION_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a call that installs a copy of a group.
 const INSTALL_TIMEOUT: Duration = Duration::from_secs(8);
-const REPAIR_EVERY: Duration = Duration::from_millis(150);
-/// An entry in doubt for so short a time is most likely still on its way.
-const REPAIR_PATIENCE: Duration = Duration::from_millis(120);
+/// How often successors are checked.
+const REPAIR_INTERVAL: Duration = Duration::from_millis(150);
+/// Time for which an uncommitted entry is left alone, because it is most likely still on its way.
+const REPAIR_DELAY: Duration = Duration::from_millis(120);
 
 impl Store {
-    /// Makes a change as the head of a group in `view`; gives the place of its entry.
-    pub(super) fn change(&self, view: &StoreView, group: GroupNumber, command: Command) -> EntryPosition {
+    /// Makes an entry for a command as the head of a group in `view`, and returns its position.
+    pub(super) fn append_command(
+        &self,
+        view: &StoreView,
+        group: GroupNumber,
+        command: Command,
+    ) -> EntryPosition {
         let results = match &command {
             Command::RecordResults { results, .. } => results.len(),
             _ => 0,
@@ -38,34 +48,34 @@
         self.entry_counters.record(results);
         let entry = self.replica(group).borrow_mut().create(group, view.epoch, command);
         let position = entry.position;
-        self.pending.borrow_mut().push(entry);
-        self.flush.notify_one();
-        self.changed.notify_waiters();
+        self.pending_entries.borrow_mut().push(entry);
+        self.flush_requested.notify_one();
+        self.group_changed.notify_waiters();
         position
     }
 
-    /// Sends on what was made here, in batches, without end.
+    /// Writes the entries made here to the disk and sends them to the successors, in batches. Never returns.
     pub(super) async fn flush_entries(self: Rc<Self>) {
         loop {
-            self.flush.notified().await;
-            sleep(GATHER_FOR).await;
-            let entries = std::mem::take(&mut *self.pending.borrow_mut());
+            self.flush_requested.notified().await;
+            sleep(BATCHING_DELAY).await;
+            let entries = std::mem::take(&mut *self.pending_entries.borrow_mut());
             if entries.is_empty() {
                 continue;
             }
-            let mut batches = self.batched(entries);
+            let mut batches = self.batch_entries(entries);
             let records = batches.iter().flat_map(|batch| &batch.entries).cloned().map(Record::Entry);
-            let synced = self.journal_records(records.collect());
+            let synced = self.write_records(records.collect());
             let view = self.view();
-            // What was made here before another became the head goes nowhere: the new head's entries replace it.
+            // Entries of a group that another store heads now are not sent: the new head's entries replace them.
             batches.retain(|batch| self.role(&view, batch.group).is_some_and(|role| role.is_head()));
             let store = self.clone();
             tokio::task::spawn_local(async move { store.replicate(view.epoch, batches, synced).await });
         }
     }
 
-    /// Entries by group, each group's in order, without those that a copy has taken away since they were made.
-    fn batched(&self, entries: Vec<Entry>) -> Vec<EntryBatch> {
+    /// Groups entries by their group, keeping their order. Leaves out entries that a copy has replaced since they were made.
+    fn batch_entries(&self, entries: Vec<Entry>) -> Vec<EntryBatch> {
         let mut groups: BTreeMap<GroupNumber, Vec<Entry>> = BTreeMap::new();
         for entry in entries {
             groups.entry(entry.group).or_default().push(entry);
@@ -75,7 +85,8 @@
         groups.into_iter().filter_map(batch).collect()
     }
 
-    /// Waits until entries are on this disk, passes them on, and tells in which groups every further link has them.
+    /// Waits until entries are on this disk and forwards them. Returns the groups in which every later store of the chain
+    /// has them.
     async fn replicate(
         self: &Rc<Self>,
         epoch: u64,
@@ -88,40 +99,41 @@
         for batch in &batches {
             self.replica(batch.group).borrow_mut().mark_synced(batch.end);
         }
-        self.changed.notify_waiters();
+        self.group_changed.notify_waiters();
         let view = self.view();
         if view.epoch != epoch {
             return Vec::new();
         }
-        let mut reached = Vec::new();
+        let mut replicated = Vec::new();
         let mut roles: BTreeMap<GroupNumber, Role> = BTreeMap::new();
-        let mut onward: BTreeMap<SocketAddr, Vec<EntryBatch>> = BTreeMap::new();
+        let mut outgoing: BTreeMap<SocketAddr, Vec<EntryBatch>> = BTreeMap::new();
         for batch in batches {
             let group = batch.group;
             let Some(role) = self.role(&view, group) else { continue };
             let next = self.replica(group).borrow().onward(&role, batch.end);
             match next {
                 Onward::Nowhere => continue,
-                Onward::Everywhere => reached.push((group, batch.end)),
+                Onward::Everywhere => replicated.push((group, batch.end)),
                 Onward::To(successor) => {
-                    let Some(peer) = self.peer(&view, successor) else { continue };
-                    onward.entry(peer).or_default().push(batch);
+                    let Some(peer) = self.store_address(&view, successor) else { continue };
+                    outgoing.entry(peer).or_default().push(batch);
                 }
             }
             roles.insert(group, role);
         }
-        let calls = onward.into_iter().map(|(peer, batches)| self.pass_on(peer, epoch, batches));
-        reached.extend(join_all(calls).await.into_iter().flatten());
-        for (group, end) in &reached {
+        let calls = outgoing.into_iter().map(|(peer, batches)| self.forward(peer, epoch, batches));
+        replicated.extend(join_all(calls).await.into_iter().flatten());
+        for (group, end) in &replicated {
             if let Some(role) = roles.get(group) {
                 self.replica(*group).borrow_mut().mark_reached(role, *end);
             }
         }
-        self.changed.notify_waiters();
-        reached.into_iter().map(|(group, _)| group).collect()
+        self.group_changed.notify_waiters();
+        replicated.into_iter().map(|(group, _)| group).collect()
     }
 
-    async fn pass_on(
+    /// Sends entries to a successor, and returns the groups and ends of the batches that every later store has.
+    async fn forward(
         &self,
         peer: SocketAddr,
         epoch: u64,
@@ -129,61 +141,63 @@
     ) -> Vec<(GroupNumber, EntryPosition)> {
         let ends: Vec<(GroupNumber, EntryPosition)> =
             batches.iter().map(|batch| (batch.group, batch.end)).collect();
-        match self.ask(peer, StoreRequest::Append { epoch, batches }, APPEND_TIMEOUT).await {
-            Some(StoreReply::Appended { replicated: reached }) => {
-                ends.into_iter().filter(|(group, _)| reached.contains(group)).collect()
+        match self.call_store(peer, StoreRequest::Append { epoch, batches }, APPEND_TIMEOUT).await {
+            Some(StoreReply::Appended { replicated }) => {
+                ends.into_iter().filter(|(group, _)| replicated.contains(group)).collect()
             }
             _ => Vec::new(),
         }
     }
 
-    pub(super) async fn ask(
+    /// Calls another store; returns `None` if it does not answer in time.
+    pub(super) async fn call_store(
         &self,
         peer: SocketAddr,
         request: StoreRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Option<StoreReply> {
-        match self.caller.call(peer, Request::Store(request), within).await {
+        match self.caller.call(peer, Request::Store(request), timeout).await {
             Ok(Reply::Store(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    /// Entries from the predecessors of their groups.
+    /// Handles entries from the predecessors of their groups: writes and forwards them, and replies in which groups all
+    /// later stores have them.
     pub(super) async fn append(self: &Rc<Self>, epoch: u64, batches: Vec<EntryBatch>) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else {
+        let Some(view) = self.wait_for_view(epoch).await else {
             return StoreReply::EpochMismatch(self.view().epoch);
         };
-        let mut level = Vec::new();
+        let mut to_forward = Vec::new();
         let mut records = Vec::new();
         for batch in batches {
             let role = self.role(&view, batch.group);
             let followed = self.replica(batch.group).borrow_mut().append(role.as_ref(), &batch);
             records.extend(followed.taken.into_iter().map(Record::Entry));
             if followed.is_level {
-                level.push(batch);
+                to_forward.push(batch);
             }
         }
-        let synced = self.journal_records(records);
-        self.changed.notify_waiters();
-        StoreReply::Appended { replicated: self.replicate(epoch, level, synced).await }
+        let synced = self.write_records(records);
+        self.group_changed.notify_waiters();
+        StoreReply::Appended { replicated: self.replicate(epoch, to_forward, synced).await }
     }
 
-    /// How far this store, as a link, is in a group in the view of `epoch`.
-    pub(super) async fn position(&self, epoch: u64, group: GroupNumber) -> StoreReply {
-        let role = self.view_of(epoch).await.and_then(|view| self.role(&view, group));
+    /// Replies with this store's position in a group, if the view with this epoch is its newest and has it in the chain.
+    pub(super) async fn position_in_view(&self, epoch: u64, group: GroupNumber) -> StoreReply {
+        let role = self.wait_for_view(epoch).await.and_then(|view| self.role(&view, group));
         let position = self.replica(group).borrow().position_as(role.as_ref());
         position.map_or_else(|| StoreReply::EpochMismatch(self.view().epoch), StoreReply::Position)
     }
 
-    /// Becomes a copy of the predecessor's group.
-    pub(super) async fn install(
+    /// Replaces this store's replica of a group by a copy from its predecessor.
+    pub(super) async fn install_copy(
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
         copy: &GroupCopy,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else {
+        let Some(view) = self.wait_for_view(epoch).await else {
             return StoreReply::EpochMismatch(self.view().epoch);
         };
         let role = self.role(&view, group);
@@ -195,13 +209,14 @@
         }
     }
 
-    /// A whole copy of a group, of which all is on this disk.
-    pub(super) async fn copy_on_disk(&self, group: GroupNumber, until: Instant) -> Option<GroupCopy> {
+    /// Returns a copy of a group once all of it is on this disk, or `None` if that takes too long.
+    pub(super) async fn synced_copy(&self, group: GroupNumber, until: Instant) -> Option<GroupCopy> {
         let copy = self.replica(group).borrow().copy();
-        self.synced(group, copy.position, until).await.then_some(copy)
+        self.wait_synced(group, copy.position, until).await.then_some(copy)
     }
 
-    /// Writes a copy that was taken; true once it is on the disk.
+    /// Writes an installed copy to the disk; returns true once it is synced. Returns false if the copy was not installed or
+    /// the write failed. `before` is the replica's position before the copy.
     pub(super) async fn write_installed(
         &self,
         group: GroupNumber,
@@ -212,40 +227,45 @@
         let number = group.0;
         match installed {
             Installed::Yes { drops_shown: Some(shown) } => log::error!(
-                "group {number}: a copy up to {:?} drops {shown:?}, which was shown here: report this with all stores' logs",
+                "group {number}: a copy up to {:?} lacks the entry at {shown:?}, which a reader was shown here: this is a fault of replication, report it with the logs of all stores",
                 copy.position
             ),
             Installed::Yes { drops_shown: None } => {
-                log::info!("group {number}: from {before:?} to a copy up to {:?}", copy.position);
+                log::info!("group {number}: replica changed from {before:?} to a copy up to {:?}", copy.position);
             }
             Installed::Unreadable | Installed::Outdated | Installed::NotALink => {
-                log::info!("group {number}: a copy up to {:?} is not taken: {installed:?}", copy.position);
+                log::info!("group {number}: a copy up to {:?} is not installed: {installed:?}", copy.position);
                 return false;
             }
         }
-        if !self.journal_records(vec![Record::Snapshot { group, copy: copy.clone() }]).await {
+        if !self.write_records(vec![Record::Snapshot { group, copy: copy.clone() }]).await {
             return false;
         }
         self.replica(group).borrow_mut().mark_synced(copy.position);
-        self.changed.notify_waiters();
+        self.group_changed.notify_waiters();
         true
     }
 
-    /// Waits until an entry is committed; false when the time is up, or another entry stands in its place.
-    pub(super) async fn committed(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
+    /// Waits until an entry is committed. Returns false if the time is up or the entry was replaced by another.
+    pub(super) async fn wait_committed(
+        &self,
+        group: GroupNumber,
+        entry: EntryPosition,
+        until: Instant,
+    ) -> bool {
         let fate = || self.replica(group).borrow().fate(entry);
-        self.reached(until, || fate() != Fate::InDoubt).await && fate() == Fate::Committed
+        self.wait_until(until, || fate() != Fate::InDoubt).await && fate() == Fate::Committed
     }
 
-    /// Waits until an entry is on this disk; false when the time is up.
-    pub(super) async fn synced(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
-        self.reached(until, || self.replica(group).borrow().has_on_disk(entry)).await
+    /// Waits until an entry is on this disk. Returns false if the time is up.
+    pub(super) async fn wait_synced(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
+        self.wait_until(until, || self.replica(group).borrow().has_on_disk(entry)).await
     }
 
-    /// Waits for a condition that changes of groups can make true.
-    pub(super) async fn reached(&self, until: Instant, condition: impl Fn() -> bool) -> bool {
+    /// Waits until a condition that depends on the replicas holds. Returns false if it does not hold by `until`.
+    pub(super) async fn wait_until(&self, until: Instant, condition: impl Fn() -> bool) -> bool {
         loop {
-            let changed = self.changed.notified();
+            let changed = self.group_changed.notified();
             if condition() {
                 return true;
             }
@@ -255,27 +275,29 @@
         }
     }
 
-    /// Brings successors level that lack entries, without end. Each is looked at anew in each view.
+    /// Sends successors the entries that they lack, and takes over groups as their head. Each successor is checked again in
+    /// each view. Never returns.
     pub(super) async fn repair_successors(self: Rc<Self>) {
-        let mut doubtful: BTreeMap<GroupNumber, Instant> = BTreeMap::new();
+        let mut uncommitted_since: BTreeMap<GroupNumber, Instant> = BTreeMap::new();
         loop {
-            let _ = timeout(REPAIR_EVERY, self.known.changed()).await;
+            let _ = timeout(REPAIR_INTERVAL, self.known.changed()).await;
             let view = self.view();
             let mut repairs = Vec::new();
             for group in GroupNumber::all() {
                 let Some(role) = self.role(&view, group) else { continue };
                 self.lead_if_head(&role, group);
-                let Some(peer) = role.successor.and_then(|successor| self.peer(&view, successor)) else {
+                let Some(peer) = role.successor.and_then(|successor| self.store_address(&view, successor))
+                else {
                     continue;
                 };
-                let checked = self.checked.borrow().get(&group).copied();
+                let checked = self.caught_up_successors.borrow().get(&group).copied();
                 let care = self.replica(group).borrow().care(&role, checked);
                 if care == Care::Needless {
-                    doubtful.remove(&group);
+                    uncommitted_since.remove(&group);
                     continue;
                 }
-                let since = *doubtful.entry(group).or_insert_with(Instant::now);
-                if care == Care::Now || since.elapsed() > REPAIR_PATIENCE {
+                let since = *uncommitted_since.entry(group).or_insert_with(Instant::now);
+                if care == Care::Now || since.elapsed() > REPAIR_DELAY {
                     repairs.push((group, peer));
                 }
             }
@@ -284,24 +306,25 @@
                 async move { store.repair(epoch, group, peer).await.then_some(group) }
             });
             for group in join_all(repaired).await.into_iter().flatten() {
-                self.checked.borrow_mut().insert(group, view.epoch);
-                doubtful.remove(&group);
+                self.caught_up_successors.borrow_mut().insert(group, view.epoch);
+                uncommitted_since.remove(&group);
             }
         }
     }
 
-    /// Brings one successor level in one group; true once all links have what this store has.
+    /// Brings a successor up to date in one group. Returns true once all later stores of the chain have what this store has.
     pub(super) async fn repair(self: &Rc<Self>, epoch: u64, group: GroupNumber, peer: SocketAddr) -> bool {
         let mut repair = Repair::new(group, epoch);
-        let theirs = match self.ask(peer, StoreRequest::Position { epoch, group }, POSITION_TIMEOUT).await {
-            Some(StoreReply::Position(theirs)) => Some(theirs),
-            _ => None,
-        };
-        let mut step = repair.heard_position(&self.replica(group).borrow(), theirs);
+        let position =
+            match self.call_store(peer, StoreRequest::Position { epoch, group }, POSITION_TIMEOUT).await {
+                Some(StoreReply::Position(position)) => Some(position),
+                _ => None,
+            };
+        let mut step = repair.heard_position(&self.replica(group).borrow(), position);
         let until = Instant::now() + APPEND_TIMEOUT;
         loop {
             step = match step {
-                RepairStep::Wait => match self.step_of_repair(&mut repair, until).await {
+                RepairStep::Wait => match self.next_repair_step(&mut repair, until).await {
                     Some(step) => step,
                     None => return false,
                 },
@@ -312,17 +335,17 @@
                         copy.state.len()
                     );
                     let install = StoreRequest::InstallCopy { epoch, group, copy };
-                    let reply = self.ask(peer, install, INSTALL_TIMEOUT).await;
+                    let reply = self.call_store(peer, install, INSTALL_TIMEOUT).await;
                     let role = self.role(&self.view(), group);
                     repair.heard_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
                 }
                 RepairStep::Append(batch) => {
-                    let reached = !self.pass_on(peer, epoch, vec![batch]).await.is_empty();
-                    repair.heard_appended(reached)
+                    let replicated = !self.forward(peer, epoch, vec![batch]).await.is_empty();
+                    repair.heard_appended(replicated)
                 }
                 RepairStep::Reached(role, end) => {
                     self.replica(group).borrow_mut().mark_reached(&role, end);
-                    self.changed.notify_waiters();
+                    self.group_changed.notify_waiters();
                     return true;
                 }
                 RepairStep::Failed => return false,
@@ -330,10 +353,10 @@
         }
     }
 
-    /// Waits until an attempt goes on; none when the time is up.
-    async fn step_of_repair(&self, repair: &mut Repair, until: Instant) -> Option<RepairStep> {
+    /// Waits until a repair can go on; returns `None` if the time is up.
+    async fn next_repair_step(&self, repair: &mut Repair, until: Instant) -> Option<RepairStep> {
         loop {
-            let changed = self.changed.notified();
+            let changed = self.group_changed.notified();
             let role = self.role(&self.view(), repair.group);
             let step = repair.look(&self.replica(repair.group).borrow(), role.as_ref());
             if step != RepairStep::Wait {
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -97,7 +97,7 @@
         loop {
             sleep(START_INTERVAL).await;
             if self.running.borrow().is_empty() {
-                let _ = timeout(POLL_INTERVAL, self.changed.notified()).await;
+                let _ = timeout(POLL_INTERVAL, self.group_changed.notified()).await;
             }
             self.pool.update(&self.known.servers());
             let view = self.view();
@@ -236,7 +236,7 @@
                 store.record_result(&task_key, result).await;
             }
             store.running.borrow_mut().remove(&task_key);
-            store.changed.notify_waiters();
+            store.group_changed.notify_waiters();
         });
         self.running.borrow_mut().insert(key, task.abort_handle());
         true
@@ -266,7 +266,7 @@
             let view = self.view();
             if self.accepts_changes(&view, key.group) {
                 let command = Command::RecordResults { job: key.job.clone(), results: vec![result] };
-                self.change(&view, key.group, command);
+                self.append_command(&view, key.group, command);
                 return;
             }
             if !self.role(&view, key.group).is_some_and(|role| role.is_head()) {
@@ -299,7 +299,7 @@
 
     /// Stops the running items of groups that this store no longer heads.
     fn stop_items_of_lost_groups(&self, view: &StoreView) {
-        let headed = self.headed(view);
+        let headed = self.headed_groups(view);
         self.accepted_here.borrow_mut().retain(|_, group| headed.contains(group));
         self.running.borrow_mut().retain(|key, task| {
             let is_headed = headed.contains(&key.group);
@@ -324,7 +324,7 @@
             };
             for job in expired {
                 self.accepted_here.borrow_mut().remove(&job);
-                self.change(view, group, Command::Remove { job });
+                self.append_command(view, group, Command::Remove { job });
             }
         }
     }
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -1,4 +1,4 @@
-//! What data planes ask of a store: to take a batch job, to end it, to read it.
+//! Requests from data planes: submitting a batch job, cancelling it, and reading its results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,20 +11,21 @@
 
 use super::Store;
 
+/// Longest wait for an entry to be committed before the reply.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Store {
-    /// Takes a batch job that fits its tenant's queued-token count.
+    /// Handles a submission: accepts the job if it does not exceed its tenant's limit of queued tokens and there is room.
     pub(super) async fn submit(
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
         job: Job,
-        most_queued: u64,
+        max_queued_tokens: u64,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
+        let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
-        let submission = self.replica(group).borrow().submission(role.as_ref(), &job, most_queued);
+        let submission = self.replica(group).borrow().submission(role.as_ref(), &job, max_queued_tokens);
         let entry = match submission {
             Submission::NotTaken => return StoreReply::NotAccepted,
             Submission::OverQuota => return StoreReply::OverQuota,
@@ -32,100 +33,107 @@
             Submission::Known(entry) => entry,
             Submission::New if self.has_room(&job) => {
                 self.accepted_here.borrow_mut().insert(job.id.clone(), group);
-                self.change(&view, group, Command::Accept(job))
+                self.append_command(&view, group, Command::Accept(job))
             }
             Submission::New => return StoreReply::NotAccepted,
         };
-        match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
+        match self.wait_committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
             false => StoreReply::OutcomeUnknown,
         }
     }
 
-    /// Whether this store is the head of a chain that enough links hold, and has the group as it was begun last.
+    /// Returns true if this store is the group's head, enough stores hold the group, and the group here is not one that was
+    /// given up.
     pub(super) fn accepts_changes(&self, view: &StoreView, group: GroupNumber) -> bool {
         self.replica(group).borrow().takes_changes(self.role(view, group).as_ref())
     }
 
-    /// Whether memory and disk have room for one more batch job.
+    /// Returns true if memory and disk have room for another batch job. The journal may take a third of the
+    /// smaller of their limits.
     fn has_room(&self, job: &Job) -> bool {
         let size: usize = job.items.iter().map(|item| item.body.len() + 512).sum();
-        let kept = self.written.get() + self.whole_size.get() + size;
-        let disk = self.settings.limits.disk_mb as usize * (1 << 20) / 3;
-        let memory = self.settings.limits.memory_mb as usize * (1 << 20) / 3;
-        kept < disk.min(memory)
+        let journal_size = self.bytes_since_checkpoint.get() + self.checkpoint_size.get() + size;
+        let disk_share = self.settings.limits.disk_mb as usize * (1 << 20) / 3;
+        let memory_share = self.settings.limits.memory_mb as usize * (1 << 20) / 3;
+        journal_size < disk_share.min(memory_share)
     }
 
-    /// Ends a batch job: its items no longer run or count.
-    pub(super) async fn end(
+    /// Handles a cancellation: the job's remaining items do not run and no longer count as queued.
+    pub(super) async fn cancel(
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
         tenant: &str,
         job: String,
     ) -> StoreReply {
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::NotAccepted };
+        let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
         let ending = self.replica(group).borrow().ending(role.as_ref(), tenant, &job);
         let entry = match ending {
             Ending::NotTaken => return StoreReply::NotAccepted,
-            Ending::NotHere => return self.not_here(&view, group, &job).await,
+            Ending::NotHere => return self.unknown_job_reply(&view, group, &job).await,
             Ending::Known(entry) => entry,
             Ending::New => {
-                let entry = self.change(&view, group, Command::Cancel { job: job.clone() });
+                let entry = self.append_command(&view, group, Command::Cancel { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
             }
         };
-        match self.committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
+        match self.wait_committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
             false => StoreReply::OutcomeUnknown,
         }
     }
 
-    /// The answer for a batch job that this head does not have.
-    async fn not_here(self: &Rc<Self>, view: &StoreView, group: GroupNumber, job: &str) -> StoreReply {
-        match self.confirmed(view, group).await {
+    /// Returns the reply for a batch job that this head does not have.
+    async fn unknown_job_reply(
+        self: &Rc<Self>,
+        view: &StoreView,
+        group: GroupNumber,
+        job: &str,
+    ) -> StoreReply {
+        match self.chain_confirms_view(view, group).await {
             true if self.replica(group).borrow().state().may_have_given_up(job) => StoreReply::GivenUp,
             true => StoreReply::NotFound,
             false => StoreReply::Undetermined,
         }
     }
 
-    /// Results from a position on, held until there is one or the time is up.
-    pub(super) async fn read(
+    /// Handles a read of results from a position on. The reply waits up to `hold` for a result to come.
+    pub(super) async fn read_results(
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
         query: Query,
         hold: Duration,
     ) -> StoreReply {
-        let began = Instant::now();
-        let Some(view) = self.view_of(epoch).await else { return StoreReply::Undetermined };
+        let started = Instant::now();
+        let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::Undetermined };
         let (job, start) = (query.job.clone(), query.start);
         let Some(mut reading) = Reading::new(self.role(&view, group), query, hold) else {
             return StoreReply::Undetermined;
         };
-        for (link, position) in self.ask_positions(&view, group, reading.links()).await {
+        for (link, position) in self.query_positions(&view, group, reading.links()).await {
             reading.hear(link, position);
         }
         loop {
-            let (changed, news) = (self.changed.notified(), self.known.changed());
+            let (group_changed, update) = (self.group_changed.notified(), self.known.changed());
             let step = {
                 let mut replica = self.replica(group).borrow_mut();
-                reading.look(&mut replica, self.view().epoch, began.elapsed())
+                reading.look(&mut replica, self.view().epoch, started.elapsed())
             };
             match step {
                 ReadStep::Wait(until) => {
                     let either = async {
-                        tokio::select! { () = changed => {}, () = news => {} }
+                        tokio::select! { () = group_changed => {}, () = update => {} }
                     };
-                    let _ = timeout_at(began + until, either).await;
+                    let _ = timeout_at(started + until, either).await;
                 }
                 ReadStep::Page(page, position) => {
                     if !page.results.is_empty() {
                         log::info!(
-                            "group {}: {job} from {start} is read at {position:?} in view {epoch}",
+                            "group {}: batch job {job} from position {start} is read at {position:?} in view {epoch}",
                             group.0
                         );
                     }
@@ -138,15 +146,15 @@
         }
     }
 
-    /// The body of an item without a result.
-    pub(super) async fn body(
+    /// Handles a read of the body of an item that has no result.
+    pub(super) async fn read_item_body(
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
         (tenant, job): (&str, &str),
         item: &str,
     ) -> StoreReply {
-        if !self.is_readable(epoch, group).await {
+        if !self.can_answer_reads(epoch, group).await {
             return StoreReply::Undetermined;
         }
         let replica = self.replica(group).borrow();
@@ -157,20 +165,20 @@
         }
     }
 
-    /// Whether this store may answer reads of a group in the view of `epoch`: it is the level tail of a chain that enough links hold,
-    /// and has all that the head has.
-    async fn is_readable(self: &Rc<Self>, epoch: u64, group: GroupNumber) -> bool {
-        let Some(view) = self.view_of(epoch).await else { return false };
+    /// Returns true if this store may answer reads of a group in the view with this epoch: it is the caught-up tail of a
+    /// chain of enough stores, and has all that the head has.
+    async fn can_answer_reads(self: &Rc<Self>, epoch: u64, group: GroupNumber) -> bool {
+        let Some(view) = self.wait_for_view(epoch).await else { return false };
         match self.role(&view, group).filter(Role::answers_reads) {
-            Some(role) => self.is_certain(&view, group, &role).await,
+            Some(role) => self.confirm_up_to_date(&view, group, &role).await,
             None => false,
         }
     }
 
-    /// Whether all other links confirm the view.
-    async fn confirmed(self: &Rc<Self>, view: &StoreView, group: GroupNumber) -> bool {
+    /// Returns true if all other stores of the chain confirm the view.
+    async fn chain_confirms_view(self: &Rc<Self>, view: &StoreView, group: GroupNumber) -> bool {
         match self.role(view, group) {
-            Some(role) => self.is_certain(view, group, &role).await,
+            Some(role) => self.confirm_up_to_date(view, group, &role).await,
             None => false,
         }
     }
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/stable_reads.rs
@@ -1,4 +1,5 @@
-//! What a reader has been shown stays: stores on loopback, driven step by step (incident TWICE).
+//! Results that a reader was shown must never change. The tests drive stores on loopback step by step through the
+//! situations in which a reader could be shown an entry that is replaced later.
 
 use std::path::Path;
 
@@ -13,21 +14,21 @@
 const TENANT: &str = "t";
 const JOB: &str = "job";
 const GROUP: GroupNumber = GroupNumber(3);
-const PATIENCE: Duration = Duration::from_secs(5);
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn local<F: Future<Output = ()>>(test: F) {
+fn run_local<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A store that answers others unless it is deaf.
-struct Running {
+/// A store that answers other stores unless it is unresponsive.
+struct RunningStore {
     store: Rc<Store>,
-    deaf: Rc<Cell<bool>>,
+    is_unresponsive: Rc<Cell<bool>>,
 }
 
-/// Stores that bear the loss of two.
-async fn stores(count: u8, salt: u32) -> Vec<Running> {
+/// Starts stores that tolerate two failures.
+async fn start_stores(count: u8, salt: u32) -> Vec<RunningStore> {
     let (port, listeners) = listeners(count, salt).await;
     let mut stores = Vec::new();
     for (number, listener) in listeners.into_iter().enumerate() {
@@ -40,24 +41,27 @@
         let settings = Rc::new(Settings::parse(&text, Path::new("test.toml")).expect("settings"));
         let identity = Identity { node: settings.node.clone(), disk: number as u64 + 1 };
         let store = Store::open(settings, identity).expect("opened");
-        let deaf = Rc::new(Cell::new(false));
-        let answering = (store.clone(), deaf.clone());
-        spawn_local(serve(listener, move |request| hear(answering.clone(), request)));
+        let is_unresponsive = Rc::new(Cell::new(false));
+        let context = (store.clone(), is_unresponsive.clone());
+        spawn_local(serve(listener, move |request| answer_if_responsive(context.clone(), request)));
         spawn_local(store.clone().flush_entries());
-        stores.push(Running { store, deaf });
+        stores.push(RunningStore { store, is_unresponsive });
     }
     stores
 }
 
-async fn hear((store, deaf): (Rc<Store>, Rc<Cell<bool>>), request: Request) -> Reply {
-    match deaf.get() {
+async fn answer_if_responsive(
+    (store, is_unresponsive): (Rc<Store>, Rc<Cell<bool>>),
+    request: Request,
+) -> Reply {
+    match is_unresponsive.get() {
         true => std::future::pending().await,
         false => answer(store, request).await,
     }
 }
 
-/// A view in which all groups are placed alike.
-fn view(stores: &[Running], epoch: u64, chain: &[u32], learner: Option<u32>) -> StoreView {
+/// Returns a view in which all groups have the same chain and learner.
+fn view(stores: &[RunningStore], epoch: u64, chain: &[u32], learner: Option<u32>) -> StoreView {
     let number = |number: &u32| StoreNumber(*number);
     let newcomer = |store| Newcomer { store: StoreNumber(store), since: epoch };
     let unchanged_since = vec![epoch; chain.len()];
@@ -65,10 +69,10 @@
     let group = Group { chain, unchanged_since, learner: learner.map(newcomer), ..Group::default() };
     let mut view = StoreView::default();
     view.epoch = epoch;
-    for (place, running) in stores.iter().enumerate() {
+    for (number, running) in stores.iter().enumerate() {
         let member = running.store.me.clone();
         view.stores.push(fennelgauge_coordination::Store {
-            number: StoreNumber(place as u32),
+            number: StoreNumber(number as u32),
             member,
             retiring: false,
         });
@@ -77,17 +81,18 @@
     view
 }
 
-fn tell(stores: &[Running], to: &[usize], view: &StoreView) {
-    for place in to {
-        let known = &stores[*place].store.known;
+/// Makes a view and its confirmation known to the stores with these indexes.
+fn publish_view(stores: &[RunningStore], to: &[usize], view: &StoreView) {
+    for index in to {
+        let known = &stores[*index].store.known;
         known.take_confirmed(Duration::ZERO);
         known.take_stores(view.clone());
     }
 }
 
 fn job() -> Job {
-    let item = |place: u32| Item {
-        id: format!("item-{place}"),
+    let item = |index: u32| Item {
+        id: format!("item-{index}"),
         path: "/p/".into(),
         headers: vec![],
         body: vec![1],
@@ -103,12 +108,14 @@
     }
 }
 
-fn finish(text: &str) -> Command {
+/// Returns a command that records this text as the result of the first item.
+fn record_result(text: &str) -> Command {
     let result = ItemResult { item_index: 0, outcome: ItemOutcome::Succeeded, text: text.to_owned() };
     Command::RecordResults { job: JOB.into(), results: vec![result] }
 }
 
-async fn read(running: &Running, epoch: u64) -> Option<Page> {
+/// Reads the first page of results, or returns `None` if the store does not answer reads.
+async fn read_page(running: &RunningStore, epoch: u64) -> Option<Page> {
     let read = StoreRequest::ReadResults {
         epoch,
         group: GROUP,
@@ -123,76 +130,80 @@
     }
 }
 
-fn text(page: &Page, position: usize) -> Option<String> {
+fn result_text(page: &Page, position: usize) -> Option<String> {
     page.results.get(position).map(|(_, result)| result.text.clone())
 }
 
-/// A learner copies from the head what no other link has; the head falls silent; the learner is the tail of the rest.
+/// A learner copies an entry from the head that no other store of the chain has. Then the head fails, and the learner
+/// becomes the tail of the remaining chain, whose new head replaces the entry.
 #[test]
-fn what_a_tail_shows_is_on_every_link_of_its_chain() {
-    local(async {
-        let stores = stores(4, 0).await;
+fn tail_shows_only_entries_that_its_whole_chain_has() {
+    run_local(async {
+        let stores = start_stores(4, 0).await;
         let first = view(&stores, 1, &[0, 1, 2], Some(3));
-        tell(&stores, &[0, 1, 2, 3], &first);
+        publish_view(&stores, &[0, 1, 2, 3], &first);
         let head = &stores[0].store;
         assert!(matches!(head.submit(1, GROUP, job(), 0).await, StoreReply::Accepted));
-        stores[1].deaf.set(true);
-        let place = head.change(&first, GROUP, finish("by the first head"));
-        assert!(head.synced(GROUP, place, Instant::now() + PATIENCE).await);
+        stores[1].is_unresponsive.set(true);
+        let position = head.append_command(&first, GROUP, record_result("by the first head"));
+        assert!(head.wait_synced(GROUP, position, Instant::now() + TEST_TIMEOUT).await);
         let learner = &stores[3].store;
         let source = head.me.peer;
         for _ in 0..2 {
             learner.learn_group(1, GROUP, source).await;
         }
 
-        stores[0].deaf.set(true);
-        stores[1].deaf.set(false);
+        stores[0].is_unresponsive.set(true);
+        stores[1].is_unresponsive.set(false);
         let second = view(&stores, 2, &[1, 2, 3], None);
-        tell(&stores, &[1, 2, 3], &second);
-        let shown = read(&stores[3], 2).await.and_then(|page| text(&page, 0));
+        publish_view(&stores, &[1, 2, 3], &second);
+        let shown = read_page(&stores[3], 2).await.and_then(|page| result_text(&page, 0));
 
         let head = &stores[1].store;
-        let mut all_level = false;
+        let mut all_caught_up = false;
         for (from, to) in [(1, 2), (2, 3), (1, 2)] {
             let peer = stores[to].store.me.peer;
-            all_level = stores[from].store.repair(2, GROUP, peer).await;
+            all_caught_up = stores[from].store.repair(2, GROUP, peer).await;
         }
-        assert!(all_level, "each link is brought level by the one before it");
-        let place = head.change(&second, GROUP, finish("by the second head"));
-        assert!(head.committed(GROUP, place, Instant::now() + PATIENCE).await);
-        let later = read(&stores[3], 2).await.and_then(|page| text(&page, 0));
+        assert!(all_caught_up, "each store is caught up by the one before it");
+        let position = head.append_command(&second, GROUP, record_result("by the second head"));
+        assert!(head.wait_committed(GROUP, position, Instant::now() + TEST_TIMEOUT).await);
+        let later = read_page(&stores[3], 2).await.and_then(|page| result_text(&page, 0));
         assert_eq!(later.as_deref(), Some("by the second head"));
         assert!(shown.is_none() || shown == later, "position 0 held {shown:?}, then {later:?}");
     });
 }
 
-/// A link has another entry at the place before the one that it is sent.
+/// A store has another entry at the position before the entry that it is sent.
 #[test]
-fn an_entry_is_taken_only_after_the_one_it_was_made_after() {
-    local(async {
-        let stores = stores(2, 2).await;
+fn entry_is_appended_only_after_the_entry_that_it_was_made_after() {
+    run_local(async {
+        let stores = start_stores(2, 2).await;
         let view = view(&stores, 2, &[0, 1], None);
-        tell(&stores, &[1], &view);
+        publish_view(&stores, &[1], &view);
         let link = &stores[1].store;
         let shared = Command::Accept(job());
         let mut head = Replica::default();
         for replica in [&mut head, &mut *link.replica(GROUP).borrow_mut()] {
             replica.create(GROUP, 1, shared.clone());
         }
-        link.replica(GROUP).borrow_mut().create(GROUP, 1, finish("made alone"));
-        let first = head.create(GROUP, 2, finish("of the chain"));
+        link.replica(GROUP).borrow_mut().create(GROUP, 1, record_result("made alone"));
+        let first = head.create(GROUP, 2, record_result("of the chain"));
         let last = head.create(GROUP, 2, Command::Cancel { job: JOB.into() });
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
         let StoreReply::Appended { replicated: reached } = answer else { panic!("{answer:?}") };
-        assert!(reached.is_empty(), "a link that has another entry at the place before says that it has all");
+        assert!(
+            reached.is_empty(),
+            "a store with another entry at the position before reports that it has the batch"
+        );
     });
 }
 
-/// A store that took part in view 4 is told of view 3 after a restart, by a source that is a little late.
+/// A store that took part in view 4 restarts and receives view 3 from a source that is slightly out of date.
 #[test]
-fn after_a_restart_no_earlier_view_is_taken_part_in() {
+fn store_takes_part_in_no_earlier_view_after_a_restart() {
     let folder = std::env::temp_dir().join(format!("fennelgauge-earlier-view-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mut replica = Replica::default();
@@ -200,18 +211,18 @@
     let (journal, _) = Journal::open(Some(&folder)).expect("a journal");
     assert_eq!(journal.write(&[Record::Entry(entry)], false).blocking_recv(), Ok(true));
     drop(journal);
-    local(async {
+    run_local(async {
         let text = format!(
             "node = \"s0\"\nip = \"127.0.0.1\"\nzone = \"z\"\nport_range = [7000, 7001]\ndata_dir = {folder:?}\n"
         );
         let settings = Rc::new(Settings::parse(&text, Path::new("test.toml")).expect("settings"));
         let store = Store::open(settings, Identity { node: "s0".into(), disk: 1 }).expect("opened");
-        for (told, taken_part_in) in [(3, 0), (4, 4), (5, 5)] {
+        for (published, expected) in [(3, 0), (4, 4), (5, 5)] {
             let mut view = StoreView::default();
-            view.epoch = told;
+            view.epoch = published;
             store.known.take_confirmed(Duration::ZERO);
             store.known.take_stores(view);
-            assert_eq!(store.view().epoch, taken_part_in, "told of view {told}");
+            assert_eq!(store.view().epoch, expected, "view {published} is published");
         }
     });
     std::fs::remove_dir_all(folder).expect("removed");
