--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -11,13 +11,13 @@
 fennelgauge-control-plane: control state, the operator's API, duties and stores
 
 USAGE
-  fennelgauge-control-plane [run] [--log LEVEL] [--policy_file FILE]     run with the settings that FENNELGAUGE_BOOT names
+  fennelgauge-control-plane [run] [--log LEVEL] [--policy FILE]     run with the settings that FENNELGAUGE_BOOT names
   fennelgauge-control-plane check-settings FILE     check a settings file
   fennelgauge-control-plane check-config FILE       check a configuration
 
 OPTIONS
   --log LEVEL     error, warn, info, debug or trace
-  --policy_file FILE   mechanisms of policy_file to be on or off (TOML); without it the table `policy_file` of the settings
+  --policy FILE   mechanisms of policy to be on or off (TOML); without it the table `policy` of the settings
   --help, --version
 ";
 
@@ -29,13 +29,13 @@
 
 fn command(mut arguments: pico_args::Arguments) -> anyhow::Result<()> {
     let log_level = arguments.opt_value_from_str("--log")?;
-    let policy_file = arguments.opt_value_from_str("--policy_file")?;
+    let policy_file = arguments.opt_value_from_str("--policy")?;
     let subcommand = arguments.subcommand()?.unwrap_or_else(|| "run".to_owned());
     match subcommand.as_str() {
         "run" => run(log_level, policy_file),
         "check-settings" => check_settings(&arguments.free_from_str::<String>()?),
         "check-config" => check_configuration(&arguments.free_from_str::<String>()?),
-        other => anyhow::bail!("unknown command {other:?}: see --help"),
+        other => anyhow::bail!("{other} is no command: see --help"),
     }
 }
 
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -295,12 +295,15 @@
 
     fn decode(bytes: &[u8]) -> Option<Self> {
         let decoded: Result<(serde_bytes::ByteBuf, ControlMetadata), _> = decode(bytes);
-        let log_failure = |reason: String| {
-            log::error!("control state received from another member cannot be decoded: {reason}")
-        };
-        let (json, metadata) = decoded.map_err(|reason| log_failure(reason.to_string())).ok()?;
+        let (json, metadata) = decoded
+            .map_err(|reason| {
+                log::error!("control state received from another member cannot be decoded: {reason}")
+            })
+            .ok()?;
         let json = decompress(&json, MAX_DECOMPRESSED_BYTES)
-            .map_err(|reason| log_failure(reason.to_string()))
+            .map_err(|reason| {
+                log::error!("control state received from another member cannot be decoded: {reason}")
+            })
             .ok()?;
         Some(Self { configuration: SharedConfiguration::new(json), metadata })
     }
