--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -15,7 +15,7 @@
 /// Shortest time between two heartbeats when there is something new to report.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(60);
 /// Timeout of a heartbeat call.
-const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
+const HEARTBEAT_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Every how many heartbeats a store reports its number of entries in each group.
 const ENTRY_COUNT_PERIOD: u32 = 8;
 
@@ -35,14 +35,15 @@
             let Some(head) = view.head() else { continue };
             let heard = StoreReport {
                 member: self.me.clone(),
-                copied_groups: group_epochs(&self.copied.borrow()),
-                held_groups: group_epochs(&self.holds.borrow()),
+                copied_groups: group_epochs(&self.learned_groups.borrow()),
+                held_groups: group_epochs(&self.held_groups.borrow()),
             };
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
             let heartbeat =
                 StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
-            let call = self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_TIMEOUT);
+            let call =
+                self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_CALL_TIMEOUT);
             match call.await {
                 Ok(_) => reported_jobs.mark_reported(accepted),
                 Err(reason) => {
@@ -70,7 +71,7 @@
         if self.core_epoch != core_epoch {
             *self = Self { core_epoch, ..Self::default() };
         }
-        let headed = store.headed(&store.view());
+        let headed = store.headed_groups(&store.view());
         self.reported.retain(|group, _| headed.contains(group));
         let unreported = headed.into_iter().map(|group| {
             let replica = store.replica(group).borrow();
