--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -92,7 +92,7 @@
         received_ms: wall_clock().as_millis() as u64,
         items,
     };
-    job.check(&access.route.path_prefix).map_err(|reason| reason.to_string())?;
+    job.validate(&access.route.path_prefix).map_err(|reason| reason.to_string())?;
     Ok(job)
 }
 
@@ -167,8 +167,8 @@
 /// has no route or the key is unknown.
 fn authenticate(plane: &DataPlane, request: &HttpRequest) -> Result<String, Denial> {
     let table = plane.known.table().ok_or(Denial::NoRoute)?;
-    table.routes_of(frontend::host(request)).ok_or(Denial::NoRoute)?;
-    match table.authorized(frontend::authorization(request)) {
+    table.routes_for_host(frontend::host(request)).ok_or(Denial::NoRoute)?;
+    match table.tenant_from_authorization(frontend::authorization(request)) {
         Some(tenant) => Ok(tenant.name.clone()),
         None if table.configuration.tenants.is_none() => Ok(String::new()),
         None => Err(Denial::UnknownKey),
@@ -253,7 +253,7 @@
     let results: Vec<serde_json::Value> = page.results.iter().map(to_json).collect();
     let mut response = HttpResponse::Ok();
     frontend::close_if_stopping(plane, &mut response);
-    response.json(serde_json::json!({ "total": page.total, "next_token": page.next, "results": results }))
+    response.json(serde_json::json!({ "total": page.total_items, "next_token": page.next_position, "results": results }))
 }
 
 /// Query parameters of a request for an item's body.
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -56,7 +56,7 @@
     let Some(table) = plane.known.table() else {
         return refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, NOT_READY_RETRY_AFTER_S);
     };
-    let access = match table.access(host(&request), request.uri().path(), authorization(&request)) {
+    let access = match table.authorize(host(&request), request.uri().path(), authorization(&request)) {
         Ok(access) => access,
         Err(denial) => return empty_response(&plane, denial_response(denial)),
     };
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -9,7 +9,7 @@
 use actix_web::http::StatusCode;
 use actix_web::web::Bytes;
 use actix_web::{HttpRequest, HttpResponse};
-use fennelgauge_model::{fixed_chance, Access, RouteKind};
+use fennelgauge_model::{stable_fraction, Access, RouteKind};
 use fennelgauge_upstream::{
     is_hop_by_hop, Answer, Demand, Outgoing, SendError, Ticket, DEADLINE, PREFIX_HASH, PRIORITY, REQUEST_ID,
     TARGET_INSTANCE, TENANT,
@@ -109,7 +109,7 @@
         let deadline = header_text(request, &DEADLINE).and_then(|value| value.parse().ok());
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let route_timeout = Duration::from_millis(access.route.timeout_ms);
-        let service = access.route.service(fixed_chance(&id)).to_owned();
+        let service = access.route.pick_service(stable_fraction(&id)).to_owned();
         let outgoing = Outgoing {
             method: request.method().clone(),
             path_and_query: request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned(),
@@ -169,7 +169,7 @@
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
                 SendError::MayHaveRun | SendError::TimeUp => self.runs += 1,
             }
-            let may_run_again = self.access.route.repeatable() && self.runs < self.max_runs();
+            let may_run_again = self.access.route.is_retry_safe() && self.runs < self.max_runs();
             if self.runs > 0 && !may_run_again {
                 return Err(self.failure());
             }
@@ -188,7 +188,7 @@
     /// request by then.
     pub(crate) fn may_leave_idle_server(&self, runs: u32) -> bool {
         let enabled = self.plane.settings.policy.leave_silent_servers;
-        enabled && self.access.route.repeatable() && runs < self.max_runs()
+        enabled && self.access.route.is_retry_safe() && runs < self.max_runs()
     }
 
     /// Returns how long a server may send nothing before the request is sent to another one.
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -6,7 +6,7 @@
 
 use actix_web::web::{Data, PayloadConfig};
 use actix_web::App;
-use fennelgauge_http::{serve_http, until_stopped, HttpTimes};
+use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
     client, keep_reachable, read_list, share_uses, subscribe, Known, Pool, Reader, Sender, Subscription,
@@ -61,7 +61,7 @@
 impl DataPlane {
     /// Creates the state of a process that knows nothing yet and has no open requests.
     pub fn new(settings: Settings) -> Self {
-        let caller = Caller::with_source(settings.calls_leave_from());
+        let caller = Caller::with_source(settings.peer_source_ip());
         Self {
             usage: RefCell::new(UsageCounters::new(settings.bounds.usage_window_s)),
             pool: Pool::new(&settings.zone, &settings.policy),
@@ -85,7 +85,8 @@
 
     /// Whether a request that arrives now is refused, because the process could end before its response is complete.
     pub fn refuses_new_requests(&self) -> bool {
-        let grace = NEW_REQUEST_GRACE.min(self.settings.grace().mul_f64(MAX_NEW_REQUEST_GRACE_SHARE));
+        let grace =
+            NEW_REQUEST_GRACE.min(self.settings.shutdown_grace().mul_f64(MAX_NEW_REQUEST_GRACE_SHARE));
         self.stop_requested_at.get().is_some_and(|since| since.elapsed() > grace)
     }
 
@@ -126,17 +127,18 @@
     spawn_local(report_usage(plane.clone()));
     if let Some(address) = plane.settings.listen.ready {
         let app = App::new().app_data(Data::new(plane.clone())).configure(readiness::routes);
-        spawn_local(serve_http(TcpListener::bind(address).await?, app, HttpTimes::default()));
+        spawn_local(serve_http(TcpListener::bind(address).await?, app, HttpTimeouts::default()));
     }
     if let Some(address) = plane.settings.listen.front {
         let app = App::new()
             .app_data(PayloadConfig::new(frontend::MAX_BODY_BYTES))
             .app_data(Data::new(plane.clone()))
             .configure(frontend::routes);
-        let times = HttpTimes { head: Duration::from_secs(5), idle: Duration::from_secs(60) };
+        let times =
+            HttpTimeouts { request_head: Duration::from_secs(5), keep_alive: Duration::from_secs(60) };
         spawn_local(serve_http(TcpListener::bind(address).await?, app, times));
     }
-    until_stopped().await;
+    wait_for_shutdown_signal().await;
     stop(&plane).await;
     Ok(())
 }
@@ -145,7 +147,7 @@
 /// last responses are written or the time for a stop is used up.
 async fn stop(plane: &DataPlane) {
     let stop_requested_at = Instant::now();
-    let time_limit = plane.settings.grace().saturating_sub(SHUTDOWN_MARGIN);
+    let time_limit = plane.settings.shutdown_grace().saturating_sub(SHUTDOWN_MARGIN);
     plane.stop_requested_at.set(Some(stop_requested_at));
     sleep(NEW_CONNECTION_GRACE.min(time_limit)).await;
     // Nothing may be awaited after the last check: a request that was read in between would get no response.
--- a/crates/upstream/src/known.rs
+++ b/crates/upstream/src/known.rs
@@ -162,7 +162,7 @@
         let servers = self.servers.borrow();
         KnownVersions {
             generation: if self.wants_whole.get() { 0 } else { self.generation() },
-            server_list: (servers.reader, servers.version),
+            server_list: (servers.reader_incarnation, servers.version),
             store_view: self.stores.borrow().epoch,
             core_view: self.view.borrow().as_ref().map_or(0, |view| view.epoch),
         }
--- a/crates/upstream/src/texts/tests.rs
+++ b/crates/upstream/src/texts/tests.rs
@@ -56,7 +56,7 @@
     assert!(matches!(other.read(&changes), Err(NewsError::Garbled | NewsError::Misfit(_))));
     let cut = ConfigurationUpdate { compressed: changes.compressed[..9].to_vec(), ..changes.clone() };
     assert!(matches!(other.read(&cut), Err(NewsError::Packed(_))));
-    let foreign = ConfigurationUpdate { compressed: packed(b"\xff\xff\xff"), ..changes };
+    let foreign = ConfigurationUpdate { compressed: compress(b"\xff\xff\xff"), ..changes };
     assert!(matches!(other.read(&foreign), Err(NewsError::Undecoded(_))));
 }
 
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -11,7 +11,7 @@
 };
 use fennelgauge_model::ServerList;
 use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
-use fennelgauge_sharing::{Report, Sums};
+use fennelgauge_sharing::{StatsReport, StatsTotals};
 
 /// A request or a reply with the id of its call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// To the head of the core: a store is alive.
     StoreHeartbeat(StoreHeartbeat),
     /// To the machine of the core that aggregates the server statistics of the sending process.
-    ServerStats(Report),
+    ServerStats(StatsReport),
 }
 
 /// The reply to a [`Request`].
@@ -48,7 +48,7 @@
     Core(CoreReply),
     Store(StoreReply),
     /// The summed server statistics of the aggregator's other reporters.
-    ServerStats(Sums),
+    ServerStats(StatsTotals),
     /// The request was received; it has no other reply.
     Acknowledged,
     /// The receiving process does not serve this request.
