--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -104,7 +104,7 @@
         directory: folder.to_owned(),
         platform_address: listener.local_addr()?,
         core_machines: plan.core,
-        tolerated_losses: plan.losses,
+        tolerated_failures: plan.losses,
         uses_relays: plan.relayed,
     };
     start_platform(listener, platform.clone());
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the tier meets outside: the platform with its list and its duties, and model servers that answer
-//! with streams of events. For tests and for trying the tier on one machine.
+//! Stand-ins for the tier's environment: the platform with its instance list and its API, and model servers that respond
+//! with streams of events. Also the settings of a whole tier on one machine. For tests and for trying the tier out.
 
 mod platform;
 mod server;
--- a/crates/standins/src/tier.rs
+++ b/crates/standins/src/tier.rs
@@ -1,4 +1,5 @@
-//! Settings for a whole tier on one machine: each process on a loopback address of its own.
+//! Settings for a whole tier on one machine. Each process has a loopback address of its own, 127.0.0.HOST, and all processes
+//! use the same ports.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -6,63 +7,71 @@
 use fennelgauge_settings::{Settings, SettingsError};
 use serde_json::{json, Value};
 
-/// The key of the only tenant of [`sample_configuration`].
+/// API key of the only tenant of [`sample_configuration`].
 pub const API_KEY: &str = "key-of-the-tenant";
-/// Ports between the first of the peers' range and those for outside callers.
-const OUTSIDE_PORTS: u16 = 20;
+/// Size of the port range for peers. The ports for clients, readiness and the operator's API follow it.
+const PEER_PORT_COUNT: u16 = 20;
+/// Lowest port that a tier may use.
 const FIRST_PORT: u16 = 21_000;
+/// Distance between the first ports of two tiers.
 const PORT_STEP: u16 = 40;
 
-/// The ports of a tier, alike at all its addresses.
+/// The ports of a tier, the same at all its addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
     first: u16,
 }
 
 impl Ports {
-    /// Ports that nobody uses, searched from a place that `salt` picks.
+    /// Finds a block of unused ports. The search starts at a block that depends on `salt`, so that tests which run at the
+    /// same time can be kept apart. `None` if all blocks are in use.
     pub fn find_free(salt: u32) -> Option<Self> {
-        let places = 600_u32;
-        (0..places).find_map(|step| {
-            let place = (salt.wrapping_add(step) % places) as u16;
-            let first = FIRST_PORT + place * PORT_STEP;
+        let blocks = 600_u32;
+        (0..blocks).find_map(|step| {
+            let block = (salt.wrapping_add(step) % blocks) as u16;
+            let first = FIRST_PORT + block * PORT_STEP;
             let free =
-                (0..OUTSIDE_PORTS + 3).all(|port| TcpListener::bind(("127.0.0.1", first + port)).is_ok());
+                (0..PEER_PORT_COUNT + 3).all(|port| TcpListener::bind(("127.0.0.1", first + port)).is_ok());
             free.then_some(Self { first })
         })
     }
 
-    fn outside(self, place: u16) -> u16 {
-        self.first + OUTSIDE_PORTS + place
+    /// Returns the port number `index` after the range for peers.
+    fn external(self, index: u16) -> u16 {
+        self.first + PEER_PORT_COUNT + index
     }
 }
 
-/// A tier on one machine.
+/// Describes a tier on one machine and writes the settings of its processes.
 #[derive(Clone, Debug)]
 pub struct Tier {
     pub ports: Ports,
+    /// Parent of the processes' data directories.
     pub directory: PathBuf,
+    /// Where the platform's API is served.
     pub platform_address: SocketAddr,
-    /// How many machines of the core there are; they are the seeds, three at most.
+    /// Number of machines of the core. The first three of them are the seeds.
     pub core_machines: u8,
-    /// Losses at once that must be borne.
-    pub tolerated_losses: u8,
-    /// Whether processes reach each other through relays, each at [`Tier::relay_address`].
+    /// Number of simultaneous failures that data has to survive.
+    pub tolerated_failures: u8,
+    /// Whether processes reach each other through relays, at [`Tier::relay_address`], instead of directly.
     pub uses_relays: bool,
 }
 
 impl Tier {
-    /// The last part of the address of the first of each kind.
+    /// Last octet of the address of the core's first machine; the others follow.
     pub const FIRST_CORE_HOST: u8 = 1;
+    /// Last octet of the address of the first store.
     pub const FIRST_STORE_HOST: u8 = 50;
+    /// Last octet of the address of the first data plane.
     pub const FIRST_DATA_PLANE_HOST: u8 = 100;
 
-    /// Where a process listens for the others.
+    /// Returns the address at which the process at `host` listens for its peers.
     pub fn peer_address(&self, host: u8) -> SocketAddr {
         SocketAddr::new(Self::host_ip(host), self.ports.first)
     }
 
-    /// Where the others reach it if there are relays.
+    /// Returns the address at which peers reach the process at `host` if relays are used.
     pub fn relay_address(&self, host: u8) -> SocketAddr {
         SocketAddr::new(Self::relay_ip(host), self.ports.first)
     }
@@ -75,22 +84,22 @@
         IpAddr::V4(Ipv4Addr::new(127, 0, 0, host))
     }
 
-    /// Where the operator's calls reach a machine of the core, counted from 0.
+    /// Returns the address of the operator's API at a machine of the core, counted from 0.
     pub fn control_address(&self, machine: u8) -> SocketAddr {
-        SocketAddr::new(Self::host_ip(Self::FIRST_CORE_HOST + machine), self.ports.outside(2))
+        SocketAddr::new(Self::host_ip(Self::FIRST_CORE_HOST + machine), self.ports.external(2))
     }
 
-    /// Where clients reach a data plane, counted from 0.
+    /// Returns the address for clients of a data plane, counted from 0.
     pub fn front_address(&self, machine: u8) -> SocketAddr {
-        SocketAddr::new(Self::host_ip(Self::FIRST_DATA_PLANE_HOST + machine), self.ports.outside(0))
+        SocketAddr::new(Self::host_ip(Self::FIRST_DATA_PLANE_HOST + machine), self.ports.external(0))
     }
 
-    /// Where the platform asks whether a data plane is ready.
+    /// Returns the address of the readiness probe of a data plane, counted from 0.
     pub fn readiness_address(&self, machine: u8) -> SocketAddr {
-        SocketAddr::new(Self::host_ip(Self::FIRST_DATA_PLANE_HOST + machine), self.ports.outside(1))
+        SocketAddr::new(Self::host_ip(Self::FIRST_DATA_PLANE_HOST + machine), self.ports.external(1))
     }
 
-    /// Settings of a machine of the core.
+    /// Returns the settings of a machine of the core, counted from 0.
     pub fn core_settings(&self, machine: u8) -> String {
         let listen = format!("control = \"{}\"", self.control_address(machine));
         self.settings(
@@ -102,12 +111,12 @@
         )
     }
 
-    /// Settings of a store.
+    /// Returns the settings of a store, counted from 0.
     pub fn store_settings(&self, machine: u8) -> String {
         self.settings(&format!("store-{machine}"), "storage", Self::FIRST_STORE_HOST + machine, "", true)
     }
 
-    /// Settings of a data plane.
+    /// Returns the settings of a data plane, counted from 0.
     pub fn data_plane_settings(&self, machine: u8) -> String {
         let listen = format!(
             "front = \"{}\"\nready = \"{}\"",
@@ -123,10 +132,10 @@
         )
     }
 
-    fn settings(&self, node: &str, serves: &str, host: u8, listen: &str, disk: bool) -> String {
+    fn settings(&self, node: &str, serves: &str, host: u8, listen: &str, has_disk: bool) -> String {
         let ip = Self::host_ip(host);
         let seed = |machine: u8| match self.uses_relays {
-            true => SocketAddr::new(Self::relay_ip(Self::FIRST_CORE_HOST + machine), self.ports.outside(2)),
+            true => SocketAddr::new(Self::relay_ip(Self::FIRST_CORE_HOST + machine), self.ports.external(2)),
             false => self.control_address(machine),
         };
         let seeds: Vec<String> =
@@ -136,7 +145,7 @@
             false => String::new(),
         };
         let zone = node.rsplit('-').next().unwrap_or("0");
-        let disk = match disk {
+        let disk = match has_disk {
             true => format!("counts_for_quorum = true\ndata_dir = {:?}\n", self.directory.join(node)),
             false => String::new(),
         };
@@ -147,20 +156,21 @@
              [bounds]\nusage_window_s = 1\nusage_late_s = 5\ngrace_s = 4\n\
              [cloud]\naddr = \"{}\"\nper_s = 20.0\nduties = [\"usage_report\"]\nduty_per_s = 10.0\n",
             self.ports.first,
-            self.ports.first + OUTSIDE_PORTS - 1,
+            self.ports.first + PEER_PORT_COUNT - 1,
             seeds.join(", "),
-            self.tolerated_losses,
+            self.tolerated_failures,
             self.platform_address,
         )
     }
 
-    /// Reads settings that this type made.
+    /// Parses settings that were written by this type.
     pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
         Settings::parse(text, Path::new("tier.toml"))
     }
 }
 
-/// A configuration with one service, a streaming route, one that may be resumed, and one for batch jobs.
+/// Builds a configuration with one service, one tenant, and three routes: `/stream/`, `/resume/` (streams that are resumed
+/// after a failure) and `/batch/`.
 pub fn sample_configuration(generation: u64) -> Value {
     let route = |name: &str, kind: &str, resumable: bool| {
         json!({
