--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -33,6 +33,7 @@
 /// A server that sends nothing is left for another one after this time, or after this multiple of the route's objective,
 /// whichever is longer.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
+/// See [`MIN_IDLE_TIMEOUT`].
 const IDLE_TIMEOUT_TARGET_MULTIPLE: u32 = 3;
 /// Least urgent value of the `Priority` header.
 const LOWEST_PRIORITY: u8 = 9;
@@ -40,16 +41,21 @@
 /// A request with the state of all its attempts. An attempt that a server may have executed is a run.
 pub(crate) struct Attempts {
     pub plane: Rc<DataPlane>,
+    /// The request's route and tenant.
     pub access: Access,
+    /// The service whose servers are tried.
     pub service: String,
+    /// The request as it is sent to servers.
     pub outgoing: Outgoing,
     /// When the client's deadline or the route's timeout ends, whichever is earlier.
     pub deadline: Instant,
+    /// What the choice of a server depends on.
     demand: Demand,
     /// Ids of the servers tried so far.
     tried: Vec<String>,
     /// Number of servers that may have executed the request.
     pub runs: u32,
+    /// Counts whether the response is late.
     pub timer: ResponseTimer,
 }
 
--- a/crates/standins/tests/end_to_end.rs
+++ b/crates/standins/tests/end_to_end.rs
@@ -40,12 +40,13 @@
     async fn start(salt: u32) -> Self {
         let ports = Ports::find_free(std::process::id().wrapping_mul(7).wrapping_add(salt * 150))
             .expect("free ports");
-        let folder = std::env::temp_dir().join(format!("fennelgauge-end-to-end-{}-{salt}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
+        let directory =
+            std::env::temp_dir().join(format!("fennelgauge-end-to-end-{}-{salt}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let tier = Tier {
             ports,
-            directory: folder,
+            directory,
             platform_address: listener.local_addr().expect("an address"),
             core_machines: 3,
             tolerated_failures: 1,
@@ -117,7 +118,7 @@
             assert!(started_at.elapsed() < TIMEOUT, "giving up takes too long");
             // Without a response the order may have been executed; sent again, it gets the same response.
             let Ok(response) = call.send_json(&order).await else { continue };
-            let (status, body) = read(Ok::<_, awc::error::SendRequestError>(response)).await;
+            let (status, body) = read_response(Ok::<_, awc::error::SendRequestError>(response)).await;
             if status < 500 {
                 return (status, String::from_utf8_lossy(&body).into_owned());
             }
@@ -178,7 +179,7 @@
     async fn get(&self, address: SocketAddr, path: &str) -> (u16, Vec<u8>) {
         let call = self.client.get(format!("http://{address}{path}")).timeout(Duration::from_secs(5));
         let call = call.insert_header(("Host", "tier.example")).insert_header(("Authorization", bearer()));
-        read(call.insert_header(("X-Fennelgauge-Poll-Wait", "500")).send().await).await
+        read_response(call.insert_header(("X-Fennelgauge-Poll-Wait", "500")).send().await).await
     }
 
     /// Sends a POST request with the tenant's key to the data plane. Returns status code and body.
@@ -186,7 +187,8 @@
         let call = self.client.post(format!("http://{}{path}", self.tier.front_address(0)));
         let call = call.insert_header(("Host", "tier.example")).insert_header(("Authorization", bearer()));
         let call = call.insert_header(("X-Fennelgauge-Request-Id", id)).timeout(Duration::from_secs(5));
-        read(call.insert_header(("X-Fennelgauge-Request-Deadline", "4000")).send_body(body).await).await
+        read_response(call.insert_header(("X-Fennelgauge-Request-Deadline", "4000")).send_body(body).await)
+            .await
     }
 
     /// Submits a batch job as a client does: again until the response is not a server error. `items` are paths and tokens.
@@ -258,7 +260,7 @@
 }
 
 /// Reads a response. Returns status code and body; the body is empty if it can't be read.
-async fn read<E: std::fmt::Debug>(
+async fn read_response<E: std::fmt::Debug>(
     response: Result<
         awc::ClientResponse<
             impl futures_util::Stream<Item = Result<actix_web::web::Bytes, awc::error::PayloadError>> + Unpin,
@@ -376,7 +378,7 @@
         let cancel = running.client.delete(format!("http://{}/-/lots/job-1", running.tier.front_address(0)));
         let cancel =
             cancel.insert_header(("Host", "tier.example")).insert_header(("Authorization", bearer()));
-        assert_eq!(read(cancel.send().await).await.0, 200);
+        assert_eq!(read_response(cancel.send().await).await.0, 200);
         assert_eq!(running.all_results("job-1").await, results, "listed results are kept");
     });
 }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -18,6 +18,7 @@
 pub(crate) struct CallMessage<M> {
     /// Chosen by the client, unique on its connection; the reply carries the id of its request.
     pub call_id: u64,
+    /// A [`Request`] or a [`Reply`].
     pub body: M,
 }
 
@@ -44,8 +45,11 @@
 /// The reply to a [`Request`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
+    /// To [`Request::Watch`].
     Watch(Box<WatchReply>),
+    /// To [`Request::Core`].
     Core(CoreReply),
+    /// To [`Request::Store`].
     Store(StoreReply),
     /// The summed server statistics of the aggregator's other reporters.
     ServerStats(StatsTotals),
@@ -71,6 +75,7 @@
 /// A long poll for state that is newer than what the watcher has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
+    /// What the watcher has.
     pub known: KnownVersions,
     /// Longest time that the reply may be held back while there is nothing newer, in milliseconds.
     pub wait_ms: u64,
@@ -80,11 +85,15 @@
 /// there is nothing newer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchReply {
+    /// The newest configuration.
     pub configuration: Option<ConfigurationUpdate>,
+    /// The newest server list.
     pub server_list: Option<ServerList>,
     /// Time since the source's server list was read from the platform, in milliseconds.
     pub server_list_age_ms: u64,
+    /// The newest view of the stores.
     pub store_view: Option<StoreView>,
+    /// The newest view of the core.
     pub core_view: Option<View>,
     /// Time since a majority confirmed the core's view that the source has, in milliseconds.
     pub confirmed_age_ms: u64,
@@ -93,6 +102,7 @@
 /// A configuration for a watcher: compressed, and as a delta where the source still has the watcher's generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationUpdate {
+    /// Generation of the resulting document.
     pub generation: u64,
     /// Generation of the document that the delta applies to; `None` if the whole document is sent.
     pub base_generation: Option<u64>,
@@ -114,9 +124,9 @@
     ChangeConfiguration(ConfigurationChange),
     /// To the tail: reads the newest committed configuration.
     ReadConfiguration,
-    /// To the head: starts moving all data off a store, so that it can be removed.
+    /// To the head: starts moving all data off the store of that name, so that it can be removed.
     RetireStart { node: String },
-    /// To the head: asks how far a store's retirement is.
+    /// To the head: asks for the state of the retirement of the store of that name.
     RetireStatus { node: String },
     /// To the head: asks for the state of a group of batch jobs.
     GroupStatus(GroupNumber),
@@ -127,6 +137,7 @@
 /// A configuration change that an operator sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChange {
+    /// How the body is to be read.
     pub kind: ChangeKind,
     /// The generation that has to be current for the change to apply.
     pub base_generation: u64,
@@ -147,11 +158,15 @@
 /// The reply to a [`CoreRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreReply {
+    /// To [`CoreRequest::ChangeConfiguration`].
     ChangeConfiguration(ChangeReply),
-    /// `None` if there is no configuration, or the machine is not the tail of a confirmed view.
+    /// To [`CoreRequest::ReadConfiguration`]. `None` if there is no configuration, or the machine is not the tail of a confirmed view.
     Configuration(Option<ConfigurationBytes>),
+    /// To [`CoreRequest::RetireStart`] and [`CoreRequest::RetireStatus`].
     Retire(RetireReply),
+    /// To [`CoreRequest::GroupStatus`].
     GroupStatus(GroupStatusReply),
+    /// To [`CoreRequest::GiveUp`].
     GiveUp(GiveUpReply),
 }
 
@@ -160,7 +175,7 @@
 pub enum ChangeReply {
     /// The change is committed.
     Acknowledged,
-    /// The change's base is not the current generation.
+    /// The change does not build on the current generation.
     Conflict { current_generation: u64 },
     /// The change is malformed, for the given reason.
     Invalid(String),
@@ -173,7 +188,9 @@
 /// The state of a store's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireReply {
+    /// Data is still being moved off the store.
     Running,
+    /// The store holds no data any more and can be removed.
     Succeeded,
     /// There is no store of that name, or its retirement was never started.
     UnknownNode,
@@ -186,6 +203,7 @@
 /// The reply to a request for a group's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupStatusReply {
+    /// The group's state.
     Found(GroupStatus),
     /// There is no group with that number, or it is not placed on stores yet.
     UnknownGroup,
@@ -196,6 +214,7 @@
 /// A group of batch jobs as the head of the core sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
+    /// The group's number.
     pub group: u16,
     /// Epoch of the stores' view.
     pub view: u64,
@@ -214,7 +233,9 @@
 /// The outcome of giving a group up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GiveUpReply {
+    /// The group was given up, by this request or before by the same one.
     Done,
+    /// The group was not given up, for the given reason.
     Refused(GiveUpRefusal),
     /// The group was certainly not given up; the request can be sent again.
     Unavailable,
@@ -225,6 +246,7 @@
 /// Periodic report of a store to the head of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHeartbeat {
+    /// The store and the groups that it has copies of.
     pub store: Heard,
     /// Number of entries in each group that the store has; empty in most heartbeats.
     pub entry_counts: Vec<(GroupNumber, u64)>,
@@ -235,6 +257,7 @@
 /// Numbers of requests that one data plane started, by window and tenant, and the timeliness of its responses.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UsageReport {
+    /// Name of the reporting process.
     pub node: String,
     /// Random number drawn at the process's start; tells its counts from those of an earlier run.
     pub incarnation: u64,
@@ -247,7 +270,9 @@
 /// Responses of one service since the reporting process's start, and how many of them were late.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTimeliness {
+    /// Name of the service.
     pub service: String,
+    /// All responses, the late ones included.
     pub responses: u64,
     /// Responses that failed, or missed the route's objective for the first byte or for a pause between two pieces.
     pub late: u64,
@@ -351,10 +376,14 @@
     Acknowledged,
     /// The store is in the view of this epoch, not in that of the request.
     EpochMismatch(u64),
+    /// The store's position in a group.
     Position(EntryPosition),
     /// The copy is on the store's disk.
     Installed,
+    /// Entries after the position of a [`StoreRequest::FetchEntries`].
     Entries(EntryBatch),
+    /// A copy of the group, since entries after the position are no longer kept.
     Copy(GroupCopy),
+    /// The store's counters.
     Counters(StoreCounters),
 }
