--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -157,9 +157,10 @@
                 return Err(self.failure());
             };
             self.tried.push(ticket.server.id.clone());
-            let response_timeout = match self.may_leave_idle_server(self.runs + 1) {
-                true => time_left.min(self.idle_timeout()),
-                false => time_left,
+            let response_timeout = if self.may_leave_idle_server(self.runs + 1) {
+                time_left.min(self.idle_timeout())
+            } else {
+                time_left
             };
             let sent = self.plane.sender.send(&ticket.server, &outgoing, time_left, response_timeout).await;
             let error = match sent {
@@ -199,8 +200,8 @@
 
     /// Returns how long a server may send nothing before the request is sent to another one.
     pub(crate) fn idle_timeout(&self) -> Duration {
-        let target = Duration::from_millis(self.access.route.target_ms);
-        MIN_IDLE_TIMEOUT.max(target * IDLE_TIMEOUT_TARGET_MULTIPLE)
+        MIN_IDLE_TIMEOUT
+            .max(Duration::from_millis(self.access.route.target_ms) * IDLE_TIMEOUT_TARGET_MULTIPLE)
     }
 
     /// Returns the failure to report when no further server is tried.
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -37,15 +37,19 @@
 
 /// State that the tasks of a data plane share.
 pub struct DataPlane {
+    /// The settings file with the policy of the command line.
     pub settings: Settings,
     /// The configuration, server list and views received so far.
     pub known: Rc<Known>,
+    /// Calls other processes of the tier.
     pub caller: Caller,
     /// The servers to choose from, with their load and failures.
     pub pool: Pool,
     /// Sends requests to servers.
     pub sender: Sender,
+    /// Requests by window and tenant, to be reported to the core.
     pub usage: RefCell<UsageCounters>,
+    /// Late responses by service, to be reported to the core.
     pub timeliness: RefCell<TimelinessCounters>,
     /// Number of client requests whose response is not complete.
     pub open_requests: Cell<usize>,
