--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -52,7 +52,7 @@
         let cut_off = Rc::new(Cell::new(false));
         let answering = (core.clone(), cut_off.clone());
         spawn_local(serve(listener, move |request| answer(answering.clone(), request)));
-        let keeping = spawn_local(core.clone().keep());
+        let keeping = spawn_local(core.clone().run());
         machines.push(Machine { core, cut_off, keeping });
     }
     machines
@@ -63,7 +63,7 @@
         _ if cut_off.get() => std::future::pending().await,
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
-            spawn_local(core.hear(*envelope));
+            spawn_local(core.handle_message(*envelope));
             Reply::Acknowledged
         }
         _ => Reply::Unsupported,
@@ -147,7 +147,7 @@
         ));
         let watch = WatchRequest { known: Default::default(), wait_ms: 0 };
         let began = Instant::now();
-        while old.core.known.answer_in_touch(&watch).await.configuration.is_some() {
+        while old.core.known.wait_for_confirmed_update(&watch).await.configuration.is_some() {
             assert!(began.elapsed() < PATIENCE, "it hands out an old configuration");
             sleep(TICK_EVERY).await;
         }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -1,18 +1,18 @@
 //! A store: keeps groups of batch jobs with other stores, runs their items, answers what becomes of them.
 
-mod costs;
+mod concurrency;
+mod counters;
+mod heartbeat;
 mod item_run;
 mod journal;
 mod learner;
 mod level;
-mod presence;
 mod replication;
-mod run_times;
+mod run_durations;
 mod runner;
 mod serving;
 #[cfg(test)]
 mod tests;
-mod window;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -21,12 +21,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Identity, Member, StoreNumber, StoreView, GROUPS, STORE_LEASE};
+use fennelgauge_coordination::{
+    GroupNumber, Identity, Member, StoreNumber, StoreView, GROUP_COUNT, STORE_LEASE_DURATION,
+};
 use fennelgauge_http::wait_for_shutdown_signal;
-use fennelgauge_replication::{Query, Replica, Role};
+use fennelgauge_replication::{ReadQuery, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
-    keep_reachable, share_uses, subscribe, wall_clock, Known, Pool, Sender, Subscription,
+    exchange_server_stats, probe_connections, subscribe, wall_clock, RequestSender, ServerPool, Subscription,
+    TierState,
 };
 use fennelgauge_wire::{serve, Caller, Entry, Reply, Request, StoreReply, StoreRequest};
 use tokio::net::TcpListener;
@@ -48,10 +51,10 @@
 pub struct Store {
     me: Member,
     settings: Rc<Settings>,
-    known: Rc<Known>,
+    known: Rc<TierState>,
     caller: Caller,
-    pool: Pool,
-    sender: Sender,
+    pool: ServerPool,
+    sender: RequestSender,
     journal: Journal,
     groups: Vec<RefCell<Replica>>,
     /// The newest view in which an entry on the disk was made when this store began: it takes part in no earlier one.
@@ -68,15 +71,15 @@
     /// Groups of which this store has everything, as a joining link, and the view of that.
     holds: RefCell<BTreeMap<GroupNumber, u64>>,
     /// There is something new to tell the head of the core.
-    presence_due: Notify,
+    heartbeat_due: Notify,
     running: RefCell<HashMap<runner::ItemKey, AbortHandle>>,
     /// By service.
     running_counts: RefCell<HashMap<String, runner::RunningCount>>,
-    windows: RefCell<HashMap<String, window::ItemWindow>>,
+    concurrency_windows: RefCell<HashMap<String, concurrency::ConcurrencyWindow>>,
     /// Batch jobs that were taken while this store was the head, as it has been ever since.
-    taken_here: RefCell<HashMap<String, GroupNumber>>,
-    run_times: RefCell<run_times::RunTimes>,
-    made: costs::Made,
+    accepted_here: RefCell<HashMap<String, GroupNumber>>,
+    run_durations: RefCell<run_durations::RunDurations>,
+    entry_counters: counters::EntryCounters,
     disk_health: Rc<DiskHealth>,
     /// Bytes handed to the journal since the last whole write, and the size of that.
     written: Cell<usize>,
@@ -95,13 +98,19 @@
     spawn_local(store.clone().repair_successors());
     spawn_local(store.clone().keep_level());
     spawn_local(store.clone().try_failed_disk());
-    spawn_local(store.clone().tell_presence());
+    spawn_local(store.clone().send_heartbeats());
     spawn_local(store.clone().learn());
     spawn_local(store.clone().run_items());
     let life = getrandom::u64().unwrap_or(1);
     let sharing = Subscription::new(&settings);
-    spawn_local(share_uses(store.pool.clone(), store.known.clone(), store.caller.clone(), sharing, life));
-    spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
+    spawn_local(exchange_server_stats(
+        store.pool.clone(),
+        store.known.clone(),
+        store.caller.clone(),
+        sharing,
+        life,
+    ));
+    spawn_local(probe_connections(store.pool.clone(), store.sender.clone()));
     wait_for_shutdown_signal().await;
     Ok(())
 }
@@ -109,7 +118,7 @@
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
-        Request::Watch(watch) => Reply::Watch(Box::new(store.known.answer(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(store.known.wait_for_update(&watch).await)),
         _ => Reply::Unsupported,
     }
 }
@@ -117,12 +126,12 @@
 impl Store {
     fn open(settings: Rc<Settings>, identity: Identity) -> anyhow::Result<Rc<Self>> {
         let (journal, records) = Journal::open(settings.data_dir.as_deref())?;
-        let mut groups: Vec<Replica> = (0..GROUPS).map(|_| Replica::default()).collect();
+        let mut groups: Vec<Replica> = (0..GROUP_COUNT).map(|_| Replica::default()).collect();
         for record in records {
             restore(&mut groups, record);
         }
         for replica in &mut groups {
-            replica.mark_synced(replica.position());
+            replica.mark_durable(replica.position());
         }
         let earliest_view = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
@@ -130,8 +139,8 @@
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
         Ok(Rc::new(Self {
             me,
-            pool: Pool::new(&settings.zone, &settings.policy),
-            sender: Sender::new(&settings.policy),
+            pool: ServerPool::new(&settings.zone, &settings.policy),
+            sender: RequestSender::new(&settings.policy),
             caller: Caller::with_source(settings.peer_source_ip()),
             settings,
             known: Rc::default(),
@@ -144,13 +153,13 @@
             checked: RefCell::default(),
             copied: RefCell::default(),
             holds: RefCell::default(),
-            presence_due: Notify::new(),
+            heartbeat_due: Notify::new(),
             running: RefCell::default(),
             running_counts: RefCell::default(),
-            windows: RefCell::default(),
-            taken_here: RefCell::default(),
-            run_times: RefCell::default(),
-            made: costs::Made::default(),
+            concurrency_windows: RefCell::default(),
+            accepted_here: RefCell::default(),
+            run_durations: RefCell::default(),
+            entry_counters: counters::EntryCounters::default(),
             disk_health: Rc::default(),
             written: Cell::new(0),
             whole_size: Cell::new(0),
@@ -164,7 +173,7 @@
             }
             StoreRequest::Cancel { epoch, group, tenant, job } => self.end(epoch, group, &tenant, job).await,
             StoreRequest::ReadResults { epoch, group, tenant, job, start_after: start, wait_ms } => {
-                let query = Query { tenant, job, start };
+                let query = ReadQuery { tenant, job, start };
                 self.read(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
             StoreRequest::ReadItemBody { epoch, group, tenant, job, item } => {
@@ -175,9 +184,11 @@
             StoreRequest::RecheckGroups { epoch, groups } => self.check_again(epoch, &groups),
             StoreRequest::FetchEntries { epoch, group, after } => self.fetch(epoch, group, after).await,
             StoreRequest::InstallCopy { epoch, group, copy } => self.install(epoch, group, &copy).await,
-            StoreRequest::Counters => {
-                StoreReply::Counters(costs::told(self.journal.counted(), &self.made, self.caller.stats()))
-            }
+            StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
+                self.journal.counters(),
+                &self.entry_counters,
+                self.caller.stats(),
+            )),
         }
     }
 
@@ -189,7 +200,7 @@
     /// core was not heard for so long that this store may have been given up.
     fn view(&self) -> Rc<StoreView> {
         let view = self.known.stores();
-        let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE);
+        let has_lease = self.known.view_confirmation_age().is_some_and(|age| age < STORE_LEASE_DURATION);
         match has_lease && view.epoch >= self.earliest_view {
             true => view,
             false => Rc::default(),
@@ -225,9 +236,9 @@
     }
 
     /// The groups that this store may change.
-    fn changeable(&self, view: &StoreView) -> Vec<GroupNumber> {
+    fn writable_groups(&self, view: &StoreView) -> Vec<GroupNumber> {
         let headed = self.headed(view).into_iter();
-        headed.filter(|group| self.takes_changes(view, *group)).collect()
+        headed.filter(|group| self.accepts_changes(view, *group)).collect()
     }
 
     fn peer(&self, view: &StoreView, store: StoreNumber) -> Option<SocketAddr> {
@@ -256,7 +267,7 @@
     fn journal_all(&self) -> tokio::sync::oneshot::Receiver<bool> {
         let whole: Vec<Record> = GroupNumber::all()
             .filter(|group| self.replica(*group).borrow().position().sequence > 0)
-            .map(|group| Record::Copy { group, copy: self.replica(group).borrow().copy() })
+            .map(|group| Record::Snapshot { group, copy: self.replica(group).borrow().snapshot() })
             .collect();
         self.whole_size.set(whole.iter().map(record_size).sum());
         self.written.set(0);
@@ -279,7 +290,7 @@
                 continue;
             }
             for (group, position) in GroupNumber::all().zip(positions) {
-                self.replica(group).borrow_mut().mark_synced(position);
+                self.replica(group).borrow_mut().mark_durable(position);
             }
             self.changed.notify_waiters();
         }
@@ -290,13 +301,13 @@
     match record {
         Record::Entry(entry) => {
             let Some(replica) = groups.get_mut(usize::from(entry.group.0)) else { return };
-            if !replica.restore(&entry) {
+            if !replica.restore_entry(&entry) {
                 log::error!("group {}: entry {:?} does not fit", entry.group.0, entry.position);
             }
         }
-        Record::Copy { group, copy } => {
+        Record::Snapshot { group, copy } => {
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
-            if !replica.restore_copy(&copy) {
+            if !replica.restore_snapshot(&copy) {
                 log::error!("group {}: its copy up to {:?} cannot be read", group.0, copy.position);
             }
         }
@@ -306,7 +317,7 @@
 fn record_size(record: &Record) -> usize {
     match record {
         Record::Entry(entry) => entry.command.len() + 32,
-        Record::Copy { copy, .. } => copy.state.len() + 64,
+        Record::Snapshot { copy, .. } => copy.state.len() + 64,
     }
 }
 
--- a/crates/control-plane/src/store/tests/shown.rs
+++ b/crates/control-plane/src/store/tests/shown.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use fennelgauge_batch::{Command, Item, ItemOutcome, ItemResult, Job, Page};
-use fennelgauge_coordination::{Group, Newcomer, StoreNumber};
+use fennelgauge_coordination::{Assignment, Group, StoreNumber};
 use fennelgauge_wire::EntryBatch;
 use tokio::task::LocalSet;
 
@@ -59,7 +59,7 @@
 /// A view in which all groups are placed alike.
 fn view(stores: &[Running], epoch: u64, chain: &[u32], learner: Option<u32>) -> StoreView {
     let number = |number: &u32| StoreNumber(*number);
-    let newcomer = |store| Newcomer { store: StoreNumber(store), since: epoch };
+    let newcomer = |store| Assignment { store: StoreNumber(store), since_epoch: epoch };
     let unchanged_since = vec![epoch; chain.len()];
     let chain = chain.iter().map(number).collect();
     let group = Group { chain, unchanged_since, learner: learner.map(newcomer), ..Group::default() };
@@ -73,15 +73,15 @@
             retiring: false,
         });
     }
-    view.groups = vec![group; usize::from(GROUPS)];
+    view.groups = vec![group; usize::from(GROUP_COUNT)];
     view
 }
 
 fn tell(stores: &[Running], to: &[usize], view: &StoreView) {
     for place in to {
         let known = &stores[*place].store.known;
-        known.take_confirmed(Duration::ZERO);
-        known.take_stores(view.clone());
+        known.update_view_confirmation(Duration::ZERO);
+        known.update_stores(view.clone());
     }
 }
 
@@ -177,11 +177,11 @@
         let shared = Command::Accept(job());
         let mut head = Replica::default();
         for replica in [&mut head, &mut *link.replica(GROUP).borrow_mut()] {
-            replica.create(GROUP, 1, shared.clone());
+            replica.create_entry(GROUP, 1, shared.clone());
         }
-        link.replica(GROUP).borrow_mut().create(GROUP, 1, finish("made alone"));
-        let first = head.create(GROUP, 2, finish("of the chain"));
-        let last = head.create(GROUP, 2, Command::Cancel { job: JOB.into() });
+        link.replica(GROUP).borrow_mut().create_entry(GROUP, 1, finish("made alone"));
+        let first = head.create_entry(GROUP, 2, finish("of the chain"));
+        let last = head.create_entry(GROUP, 2, Command::Cancel { job: JOB.into() });
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
@@ -196,7 +196,7 @@
     let folder = std::env::temp_dir().join(format!("fennelgauge-earlier-view-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mut replica = Replica::default();
-    let entry = replica.create(GROUP, 4, Command::Accept(job()));
+    let entry = replica.create_entry(GROUP, 4, Command::Accept(job()));
     let (journal, _) = Journal::open(Some(&folder)).expect("a journal");
     assert_eq!(journal.write(&[Record::Entry(entry)], false).blocking_recv(), Ok(true));
     drop(journal);
@@ -209,8 +209,8 @@
         for (told, taken_part_in) in [(3, 0), (4, 4), (5, 5)] {
             let mut view = StoreView::default();
             view.epoch = told;
-            store.known.take_confirmed(Duration::ZERO);
-            store.known.take_stores(view);
+            store.known.update_view_confirmation(Duration::ZERO);
+            store.known.update_stores(view);
             assert_eq!(store.view().epoch, taken_part_in, "told of view {told}");
         }
     });
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -11,8 +11,8 @@
 use actix_web::{HttpRequest, HttpResponse};
 use fennelgauge_model::{stable_fraction, Access, RouteKind};
 use fennelgauge_upstream::{
-    is_hop_by_hop, Answer, Demand, Outgoing, SendError, Ticket, DEADLINE, PREFIX_HASH, PRIORITY, REQUEST_ID,
-    TARGET_INSTANCE, TENANT,
+    is_hop_by_hop, InFlightGuard, OutgoingRequest, RequestProfile, SendError, UpstreamResponse, DEADLINE,
+    PREFIX_HASH, PRIORITY, REQUEST_ID, TARGET_INSTANCE, TENANT,
 };
 use futures_util::stream::{self, Stream};
 use tokio::time::{sleep, Instant};
@@ -46,11 +46,11 @@
     /// The service whose servers are tried.
     pub service: String,
     /// The request as it is sent to servers.
-    pub outgoing: Outgoing,
+    pub outgoing: OutgoingRequest,
     /// When the client's deadline or the route's timeout ends, whichever is earlier.
     pub deadline: Instant,
     /// What the choice of a server depends on.
-    demand: Demand,
+    demand: RequestProfile,
     /// Ids of the servers tried so far.
     tried: Vec<String>,
     /// Number of servers that may have executed the request.
@@ -61,9 +61,9 @@
 
 /// A server's response while its body is being read.
 pub(crate) struct ActiveResponse {
-    pub response: Answer,
+    pub response: UpstreamResponse,
     /// Counts the request as in flight at its server until dropped.
-    pub ticket: Ticket,
+    pub ticket: InFlightGuard,
 }
 
 /// Why a request has no response.
@@ -116,7 +116,7 @@
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let route_timeout = Duration::from_millis(access.route.timeout_ms);
         let service = access.route.pick_service(stable_fraction(&id)).to_owned();
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             method: request.method().clone(),
             path_and_query: request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned(),
             host: crate::frontend::host(request).to_owned(),
@@ -127,7 +127,7 @@
         Some(Self {
             timer: ResponseTimer::new(plane.clone(), &service, &access.route),
             service,
-            demand: Demand::of_prefix(header_text(request, &PREFIX_HASH)),
+            demand: RequestProfile::from_prefix_header(header_text(request, &PREFIX_HASH)),
             deadline: Instant::now() + deadline.min(route_timeout),
             tried: Vec::new(),
             runs: 0,
@@ -165,16 +165,16 @@
             let sent = self.plane.sender.send(&ticket.server, &outgoing, time_left, response_timeout).await;
             let error = match sent {
                 Ok(response) => {
-                    self.plane.pool.learn(&ticket, &response);
+                    self.plane.pool.record_response(&ticket, &response);
                     self.runs += 1;
                     return Ok(ActiveResponse { response, ticket });
                 }
                 Err(error) => error,
             };
-            self.plane.pool.learn_failure(&ticket.server, &error);
+            self.plane.pool.record_send_error(&ticket.server, &error);
             match error {
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
-                SendError::MayHaveRun | SendError::TimeUp => self.runs += 1,
+                SendError::MayHaveExecuted | SendError::TimedOut => self.runs += 1,
             }
             let may_run_again = self.access.route.is_retry_safe() && self.runs < self.max_runs();
             if self.runs > 0 && !may_run_again {
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -9,7 +9,8 @@
 use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
-    client, keep_reachable, read_list, share_uses, subscribe, Known, Pool, Reader, Sender, Subscription,
+    exchange_server_stats, fetch_server_list, platform_client, probe_connections, subscribe, RequestSender,
+    ServerListVersioner, ServerPool, Subscription, TierState,
 };
 use fennelgauge_wire::{serve, Caller, Reply, Request};
 use tokio::net::TcpListener;
@@ -40,13 +41,13 @@
     /// The settings file with the policy of the command line.
     pub settings: Settings,
     /// The configuration, server list and views received so far.
-    pub known: Rc<Known>,
+    pub known: Rc<TierState>,
     /// Calls other processes of the tier.
     pub caller: Caller,
     /// The servers to choose from, with their load and failures.
-    pub pool: Pool,
+    pub pool: ServerPool,
     /// Sends requests to servers.
-    pub sender: Sender,
+    pub sender: RequestSender,
     /// Requests by window and tenant, to be reported to the core.
     pub usage: RefCell<UsageCounters>,
     /// Late responses by service, to be reported to the core.
@@ -68,11 +69,11 @@
         let caller = Caller::with_source(settings.peer_source_ip());
         Self {
             usage: RefCell::new(UsageCounters::new(settings.bounds.usage_window_s)),
-            pool: Pool::new(&settings.zone, &settings.policy),
-            sender: Sender::new(&settings.policy),
+            pool: ServerPool::new(&settings.zone, &settings.policy),
+            sender: RequestSender::new(&settings.policy),
             settings,
             timeliness: RefCell::default(),
-            known: Rc::new(Known::default()),
+            known: Rc::new(TierState::default()),
             caller,
             open_requests: Cell::new(0),
             last_request_ended_at: Cell::new(Instant::now()),
@@ -104,7 +105,7 @@
     pub fn is_ready(&self) -> bool {
         if !self.was_ready.get() {
             let has_servers = !self.known.servers().servers.is_empty();
-            self.was_ready.set(self.known.table().is_some() && has_servers);
+            self.was_ready.set(self.known.routing_table().is_some() && has_servers);
         }
         self.was_ready.get() && !self.is_stopping()
     }
@@ -120,14 +121,14 @@
     spawn_local(update_pool(plane.clone()));
     let incarnation = getrandom::u64().unwrap_or(1);
     let stats_subscription = Subscription::new(&plane.settings);
-    spawn_local(share_uses(
+    spawn_local(exchange_server_stats(
         plane.pool.clone(),
         plane.known.clone(),
         plane.caller.clone(),
         stats_subscription,
         incarnation,
     ));
-    spawn_local(keep_reachable(plane.pool.clone(), plane.sender.clone()));
+    spawn_local(probe_connections(plane.pool.clone(), plane.sender.clone()));
     spawn_local(report_usage(plane.clone()));
     if let Some(address) = plane.settings.listen.ready {
         let app = App::new().app_data(Data::new(plane.clone())).configure(readiness::routes);
@@ -161,9 +162,9 @@
 }
 
 /// Answers a call from another process: data planes pass on what they received from the control plane.
-async fn answer_peer(known: Rc<Known>, request: Request) -> Reply {
+async fn answer_peer(known: Rc<TierState>, request: Request) -> Reply {
     match request {
-        Request::Watch(watch) => Reply::Watch(Box::new(known.answer(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(known.wait_for_update(&watch).await)),
         _ => Reply::Unsupported,
     }
 }
@@ -171,19 +172,20 @@
 /// Keeps the pool and the connections up to date with the server list; never returns. Reads the list from the platform while
 /// the control plane's list is out of date.
 async fn update_pool(plane: Rc<DataPlane>) {
-    let client = client();
-    let mut reader = Reader::new(getrandom::u64().unwrap_or(1));
+    let client = platform_client();
+    let mut reader = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
     loop {
         plane.pool.update(&plane.known.servers());
-        plane.sender.keep_only(&plane.known.servers().servers);
-        let is_outdated = plane.known.servers_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
+        plane.sender.retain_servers(&plane.known.servers().servers);
+        let is_outdated = plane.known.server_list_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
         // Gives the control plane time to send the first list after this process has started.
+
         let is_settled = plane.started_at.elapsed() > MAX_SERVER_LIST_AGE * 2;
         if let (true, true, Some(platform)) = (is_outdated, is_settled, plane.settings.cloud.addr) {
             let requested_at = Instant::now();
-            match read_list(&client, platform).await {
+            match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.take_servers(Some(reader.numbered(servers)), requested_at.elapsed());
+                    plane.known.update_servers(Some(reader.assign_version(servers)), requested_at.elapsed());
                     plane.pool.update(&plane.known.servers());
                 }
                 Err(error) => {
--- a/crates/data-plane/src/resumable_stream.rs
+++ b/crates/data-plane/src/resumable_stream.rs
@@ -4,7 +4,7 @@
 
 use actix_web::error::ErrorBadGateway;
 use actix_web::web::Bytes;
-use fennelgauge_upstream::{BrokenOff, EventOrder, EventReader};
+use fennelgauge_upstream::{EventOrder, EventParser, TruncatedBody};
 use futures_util::stream::{self, Stream};
 use tokio::time::{timeout, Instant};
 
@@ -15,7 +15,7 @@
     attempts: Attempts,
     /// The response that is being read; `None` after it failed.
     active: Option<ActiveResponse>,
-    reader: EventReader,
+    reader: EventParser,
     order: EventOrder,
     /// Whether the current response contained an event that is not the next one. The rest of it is discarded.
     out_of_order: bool,
@@ -40,7 +40,7 @@
     let resumable = ResumableStream {
         attempts,
         active: Some(active),
-        reader: EventReader::default(),
+        reader: EventParser::default(),
         order: EventOrder::default(),
         out_of_order: false,
         _open: open,
@@ -64,7 +64,7 @@
             let idle_timeout = self.idle_timeout();
             let Some(active) = self.active.as_mut() else { return Step::Failed };
             let next = timeout(idle_timeout, active.response.next()).await;
-            match next.unwrap_or(Some(Err(BrokenOff))) {
+            match next.unwrap_or(Some(Err(TruncatedBody))) {
                 Some(Ok(bytes)) => {
                     self.reader.push(&bytes);
                     let events = self.complete_events();
@@ -73,7 +73,7 @@
                         return Step::Events(events);
                     }
                 }
-                None if !self.reader.has_rest() => return Step::End,
+                None if !self.reader.has_partial_event() => return Step::End,
                 Some(Err(_)) | None => {
                     if !self.resume_elsewhere().await {
                         return Step::Failed;
@@ -96,7 +96,7 @@
     fn complete_events(&mut self) -> Bytes {
         let mut bytes = Vec::new();
         for event in self.reader.by_ref() {
-            if !self.order.take(&event) {
+            if !self.order.accept(&event) {
                 self.out_of_order = true;
                 break;
             }
@@ -109,13 +109,13 @@
     /// succeeded.
     async fn resume_elsewhere(&mut self) -> bool {
         if let Some(failed) = self.active.take() {
-            self.attempts.plane.pool.failed(&failed.ticket.server.id);
+            self.attempts.plane.pool.record_failure(&failed.ticket.server.id);
         }
-        self.reader = EventReader::default();
+        self.reader = EventParser::default();
         if self.attempts.runs >= self.attempts.max_runs() {
             return false;
         }
-        match self.attempts.next_response(self.order.last()).await {
+        match self.attempts.next_response(self.order.last_id()).await {
             Ok(active) if active.response.status().is_success() => {
                 self.active = Some(active);
                 true
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -7,10 +7,11 @@
 
 use fennelgauge_batch::{Job, Page};
 use fennelgauge_coordination::{
-    Envelope, GiveUp, GiveUpRefusal, GivenUp, GroupNumber, Heard, HolderSeen, StoreView, View,
+    Envelope, GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, StoreReport, StoreView,
+    View,
 };
 use fennelgauge_model::ServerList;
-use fennelgauge_replication::{EntryBatch, EntryPosition, GroupCopy};
+use fennelgauge_replication::{EntryBatch, EntryPosition, GroupSnapshot};
 use fennelgauge_sharing::{StatsReport, StatsTotals};
 
 /// A request or a reply with the id of its call.
@@ -131,7 +132,7 @@
     /// To the head: asks for the state of a group of batch jobs.
     GroupStatus(GroupNumber),
     /// To the head: gives up the data of a group whose holders are lost.
-    GiveUp(GiveUp),
+    GiveUp(GiveUpRequest),
 }
 
 /// A configuration change that an operator sent.
@@ -221,13 +222,13 @@
     /// Whether the group accepts batch jobs.
     pub is_open: bool,
     /// The stores that hold the group's data or did when they were last heard from.
-    pub holders: Vec<HolderSeen>,
+    pub holders: Vec<HolderStatus>,
     /// Names of stores that were added to the group's chain and do not have all its entries yet.
     pub joining: Vec<String>,
     /// Name of the store that copies the group before it joins the chain.
     pub learner: Option<String>,
     /// The times that the group was given up, oldest first.
-    pub given_up: Vec<GivenUp>,
+    pub given_up: Vec<GiveUpRecord>,
 }
 
 /// The outcome of giving a group up.
@@ -236,7 +237,7 @@
     /// The group was given up, by this request or before by the same one.
     Done,
     /// The group was not given up, for the given reason.
-    Refused(GiveUpRefusal),
+    Refused(GiveUpError),
     /// The group was certainly not given up; the request can be sent again.
     Unavailable,
     /// The group may have been given up; the request can be sent again.
@@ -247,7 +248,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHeartbeat {
     /// The store and the groups that it has copies of.
-    pub store: Heard,
+    pub store: StoreReport,
     /// Number of entries in each group that the store has; empty in most heartbeats.
     pub entry_counts: Vec<(GroupNumber, u64)>,
     /// Ids of batch jobs that the store accepted as a head and has not reported to this head of the core yet, by group.
@@ -324,7 +325,7 @@
     /// From a learner: reads the entries after a position, or a copy of the group if they are no longer kept.
     FetchEntries { epoch: u64, group: GroupNumber, after: EntryPosition },
     /// From the predecessor in the chain: replaces the store's state of a group by a copy.
-    InstallCopy { epoch: u64, group: GroupNumber, copy: GroupCopy },
+    InstallCopy { epoch: u64, group: GroupNumber, copy: GroupSnapshot },
     /// Reads the store's counters.
     Counters,
 }
@@ -383,7 +384,7 @@
     /// Entries after the position of a [`StoreRequest::FetchEntries`].
     Entries(EntryBatch),
     /// A copy of the group, since entries after the position are no longer kept.
-    Copy(GroupCopy),
+    Copy(GroupSnapshot),
     /// The store's counters.
     Counters(StoreCounters),
 }
