--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -33,6 +33,7 @@
 /// A server that sends nothing is left for another one after this time, or after this multiple of the route's objective,
 /// whichever is longer.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
+/// See [`MIN_IDLE_TIMEOUT`].
 const IDLE_TIMEOUT_TARGET_MULTIPLE: u32 = 3;
 /// Least urgent value of the `Priority` header.
 const LOWEST_PRIORITY: u8 = 9;
@@ -40,16 +41,21 @@
 /// A request with the state of all its attempts. An attempt that a server may have executed is a run.
 pub(crate) struct Attempts {
     pub plane: Rc<DataPlane>,
+    /// The request's route and tenant.
     pub access: Access,
+    /// The service whose servers are tried.
     pub service: String,
+    /// The request as it is sent to servers.
     pub outgoing: OutgoingRequest,
     /// When the client's deadline or the route's timeout ends, whichever is earlier.
     pub deadline: Instant,
+    /// What the choice of a server depends on.
     demand: RequestProfile,
     /// Ids of the servers tried so far.
     tried: Vec<String>,
     /// Number of servers that may have executed the request.
     pub runs: u32,
+    /// Counts whether the response is late.
     pub timer: ResponseTimer,
 }
 
@@ -151,9 +157,10 @@
                 return Err(self.failure());
             };
             self.tried.push(ticket.server.id.clone());
-            let response_timeout = match self.may_leave_idle_server(self.runs + 1) {
-                true => time_left.min(self.idle_timeout()),
-                false => time_left,
+            let response_timeout = if self.may_leave_idle_server(self.runs + 1) {
+                time_left.min(self.idle_timeout())
+            } else {
+                time_left
             };
             let sent = self.plane.sender.send(&ticket.server, &outgoing, time_left, response_timeout).await;
             let error = match sent {
@@ -193,8 +200,8 @@
 
     /// Returns how long a server may send nothing before the request is sent to another one.
     pub(crate) fn idle_timeout(&self) -> Duration {
-        let target = Duration::from_millis(self.access.route.target_ms);
-        MIN_IDLE_TIMEOUT.max(target * IDLE_TIMEOUT_TARGET_MULTIPLE)
+        MIN_IDLE_TIMEOUT
+            .max(Duration::from_millis(self.access.route.target_ms) * IDLE_TIMEOUT_TARGET_MULTIPLE)
     }
 
     /// Returns the failure to report when no further server is tried.
