--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -20,7 +20,6 @@
     /// The same order was carried out before.
     AlreadyDone,
     /// The order does not fit the state of the group.
-
     Refused(GiveUpError),
 }
 
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -47,7 +47,6 @@
     /// Configuration, server list and views that this process has and serves to watchers.
     pub known: Rc<TierState>,
     /// Makes calls to other processes of the tier.
-
     pub caller: Caller,
     /// Heartbeats received from the stores.
     pub heartbeats: HeartbeatTracker,
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -54,11 +54,12 @@
         let until = Instant::now() + WRITE_LOCK_TIMEOUT;
         let guard = timeout_at(until, self.write_lock.lock()).await;
         let _guard = guard.map_err(|_| WriteError::NotAccepted)?;
-        let ready = self.wait_for_progress(until, |coordinator| match coordinator.replica().check_writable() {
-            Ok(()) => Progress::Done,
-            Err(_) if coordinator.replica().is_head() => Progress::Pending,
-            Err(_) => Progress::Superseded,
-        });
+        let ready =
+            self.wait_for_progress(until, |coordinator| match coordinator.replica().check_writable() {
+                Ok(()) => Progress::Done,
+                Err(_) if coordinator.replica().is_head() => Progress::Pending,
+                Err(_) => Progress::Superseded,
+            });
         if ready.await != Progress::Done {
             return Err(WriteError::NotAccepted);
         }
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -46,7 +46,6 @@
     /// The record of the member's promises, if it changed.
     pub record: Option<VotingRecord>,
     /// The control state and its version, if it changed.
-
     pub value: Option<(Version, Arc<ControlState>)>,
 }
 
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -115,7 +115,8 @@
     pub fn live_stores(&self) -> Vec<StoreReport> {
         let mut stores = self.stores.borrow_mut();
         stores.retain(|_, heartbeat| heartbeat.at.elapsed() < STORE_LIVENESS_TIMEOUT);
-        let mut live_stores: Vec<StoreReport> = stores.values().map(|heartbeat| heartbeat.store.clone()).collect();
+        let mut live_stores: Vec<StoreReport> =
+            stores.values().map(|heartbeat| heartbeat.store.clone()).collect();
         live_stores.sort_by(|left, right| left.member.identity.cmp(&right.member.identity));
         live_stores
     }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -132,27 +132,15 @@
     /// Replaces or patches the configuration.
     Configure(ConfigurationChange),
     /// Commits the request counts of a usage window.
-    CommitUsage {
-        window: u64,
-        counts: BTreeMap<String, u64>
-    },
+    CommitUsage { window: u64, counts: BTreeMap<String, u64> },
     /// Replaces the placement of groups, if `stores` is set, and marks retiring nodes that hold no data any more.
-    Placement {
-        stores: Option<StoreView>,
-        emptied: Vec<String>
-    },
+    Placement { stores: Option<StoreView>, emptied: Vec<String> },
     /// Begins the retirement of a store node.
-    Retire {
-        node: String
-    },
+    Retire { node: String },
     /// Records ids of batch jobs in groups whose holders are all silent.
-    RecordLostJobs { lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>>
-    },
+    RecordLostJobs { lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>> },
     /// Replaces a group by an empty one, as an operator ordered.
-    GiveUp {
-        given_up: GiveUpRecord,
-        stores: StoreView
-    },
+    GiveUp { given_up: GiveUpRecord, stores: StoreView },
 }
 
 impl StateChange {
--- a/crates/control-plane/src/store/catch_up.rs
+++ b/crates/control-plane/src/store/catch_up.rs
@@ -62,7 +62,8 @@
         });
         let candidates: Vec<&(GroupNumber, Role)> = roles
             .iter()
-            .filter(|(group, role)| { role.joining_since.is_some() && !self.held_groups.borrow().contains_key(group)
+            .filter(|(group, role)| {
+                role.joining_since.is_some() && !self.held_groups.borrow().contains_key(group)
             })
             .filter(|(group, role)| self.replica(*group).borrow().is_caught_up(role))
             .collect();
@@ -98,7 +99,9 @@
         let recreated = self.replica(group).borrow_mut().become_head(group, role);
         let Some(copy) = recreated else { return };
         log::error!(
-            "group {} was given up by an operator: it starts again empty, its batch jobs are lost", group.0);
+            "group {} was given up by an operator: it starts again empty, its batch jobs are lost",
+            group.0
+        );
         self.stop_group(group);
         let end = copy.position;
         let written = self.write_records(vec![Record::Snapshot { group, copy }]);
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -117,7 +117,7 @@
         store.known.clone(),
         store.caller.clone(),
         subscription,
-        incarnation
+        incarnation,
     ));
     spawn_local(probe_connections(store.pool.clone(), store.sender.clone()));
     wait_for_shutdown_signal().await;
@@ -330,7 +330,10 @@
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
             if !replica.restore_snapshot(&copy) {
                 log::error!(
-                    "group {}: journal snapshot at {:?} skipped: it cannot be decoded", group.0, copy.position);
+                    "group {}: journal snapshot at {:?} skipped: it cannot be decoded",
+                    group.0,
+                    copy.position
+                );
             }
         }
     }
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -249,7 +249,12 @@
     }
 
     /// Waits until an entry is committed. Returns false if the time is up or the entry was replaced by another.
-    pub(super) async fn wait_committed(&self, group: GroupNumber, entry: EntryPosition, until: Instant,) -> bool {
+    pub(super) async fn wait_committed(
+        &self,
+        group: GroupNumber,
+        entry: EntryPosition,
+        until: Instant,
+    ) -> bool {
         let fate = || self.replica(group).borrow().entry_status(entry);
         self.wait_until(until, || fate() != EntryStatus::Pending).await && fate() == EntryStatus::Committed
     }
@@ -312,10 +317,11 @@
     /// Brings a successor up to date in one group. Returns true once all later stores of the chain have what this store has.
     pub(super) async fn repair(self: &Rc<Self>, epoch: u64, group: GroupNumber, peer: SocketAddr) -> bool {
         let mut repair = Repair::new(group, epoch);
-        let position = match self.call_store(peer, StoreRequest::Position { epoch, group }, POSITION_TIMEOUT).await {
-            Some(StoreReply::Position(position)) => Some(position),
-            _ => None,
-        };
+        let position =
+            match self.call_store(peer, StoreRequest::Position { epoch, group }, POSITION_TIMEOUT).await {
+                Some(StoreReply::Position(position)) => Some(position),
+                _ => None,
+            };
         let mut step = repair.on_position(&self.replica(group).borrow(), position);
         let until = Instant::now() + APPEND_TIMEOUT;
         loop {
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -25,7 +25,8 @@
     ) -> StoreReply {
         let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
-        let submission = self.replica(group).borrow().decide_submission(role.as_ref(), &job, max_queued_tokens);
+        let submission =
+            self.replica(group).borrow().decide_submission(role.as_ref(), &job, max_queued_tokens);
         let entry = match submission {
             SubmissionDecision::NotWritable => return StoreReply::NotAccepted,
             SubmissionDecision::OverQuota => return StoreReply::OverQuota,
