--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -36,7 +36,7 @@
     /// The newest heartbeat of each store, without stores known to be lost.
     stores: RefCell<HashMap<Identity, ReceivedHeartbeat>>,
     /// The last report of every store heard within [`LAST_REPORT_TTL`], also of silent ones.
-    last_reports: RefCell<HashMap<Identity, StoreReport>>,
+    last_reports: RefCell<HashMap<Identity, EntryCountReport>>,
     /// Ids of accepted batch jobs by group, the newest last.
     job_ids: RefCell<BTreeMap<GroupNumber, VecDeque<String>>>,
     /// Notified when a store is new or reports something new about its groups; used while a group is closed.
@@ -48,7 +48,7 @@
     at: Instant,
 }
 
-struct StoreReport {
+struct EntryCountReport {
     at: Instant,
     /// Number of entries in each group.
     entry_counts: HashMap<GroupNumber, u64>,
@@ -75,7 +75,7 @@
             last_reports.retain(|_, report| report.at.elapsed() < LAST_REPORT_TTL);
             let report = last_reports
                 .entry(identity.clone())
-                .or_insert_with(|| StoreReport { at, entry_counts: HashMap::new() });
+                .or_insert_with(|| EntryCountReport { at, entry_counts: HashMap::new() });
             report.at = at;
             report.entry_counts.extend(entry_counts);
         }
