--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -60,7 +60,7 @@
 impl Presence {
     /// A store told of itself.
     pub fn record(&self, told: StoreHeartbeat) {
-        let StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted } = told;
+        let StoreHeartbeat { report: heard, entry_counts: entries, accepted_jobs: accepted } = told;
         self.take_names(accepted);
         let at = Instant::now();
         let identity = heard.member.identity.clone();
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -41,7 +41,7 @@
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
             let heartbeat =
-                StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
+                StoreHeartbeat { report: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
             let call = self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_TIMEOUT);
             match call.await {
                 Ok(_) => reported_jobs.mark_reported(accepted),
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -63,7 +63,7 @@
                 replica.mark_durable(batch.end);
                 replica.may_report_copied(batch.end, lacked)
             }
-            Some(StoreReply::Copy(copy)) => {
+            Some(StoreReply::Snapshot(copy)) => {
                 let installed = self.replica(group).borrow_mut().install_snapshot(epoch, &copy);
                 self.write_installed(group, after, installed, &copy).await;
                 false
@@ -85,7 +85,7 @@
                 false => StoreReply::Undetermined,
             },
             CatchUp::Snapshot => match self.copy_on_disk(group, until).await {
-                Some(copy) => StoreReply::Copy(copy),
+                Some(copy) => StoreReply::Snapshot(copy),
                 None => StoreReply::Undetermined,
             },
         }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -183,7 +183,9 @@
             StoreRequest::Position { epoch, group } => self.position(epoch, group).await,
             StoreRequest::RecheckGroups { epoch, groups } => self.check_again(epoch, &groups),
             StoreRequest::FetchEntries { epoch, group, after } => self.fetch(epoch, group, after).await,
-            StoreRequest::InstallCopy { epoch, group, copy } => self.install(epoch, group, &copy).await,
+            StoreRequest::InstallSnapshot { epoch, group, snapshot: copy } => {
+                self.install(epoch, group, &copy).await
+            }
             StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
                 self.journal.counters(),
                 &self.entry_counters,
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -313,7 +313,7 @@
                         group.0,
                         copy.state.len()
                     );
-                    let install = StoreRequest::InstallCopy { epoch, group, copy };
+                    let install = StoreRequest::InstallSnapshot { epoch, group, snapshot: copy };
                     let reply = self.ask(peer, install, INSTALL_TIMEOUT).await;
                     let role = self.role(&self.view(), group);
                     repair.on_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
--- a/crates/data-plane/src/batch.rs
+++ b/crates/data-plane/src/batch.rs
@@ -142,7 +142,7 @@
 ) -> StoreOutcome {
     let mut may_have_executed = false;
     loop {
-        let view = plane.known.stores();
+        let view = plane.tier_state.stores();
         if let Some(store) = store(&view, group) {
             let time_left = deadline.saturating_duration_since(Instant::now()).min(call_timeout);
             let call = plane.caller.call(store.member.peer, Request::Store(request(&view)), time_left);
@@ -166,7 +166,7 @@
 /// Returns the name of the tenant whose key a request carries; empty if the configuration has no tenants. Errs if the host
 /// has no route or the key is unknown.
 fn authenticate(plane: &DataPlane, request: &HttpRequest) -> Result<String, Denial> {
-    let table = plane.known.routing_table().ok_or(Denial::NoRoute)?;
+    let table = plane.tier_state.routing_table().ok_or(Denial::NoRoute)?;
     table.routes_for_host(frontend::host(request)).ok_or(Denial::NoRoute)?;
     match table.tenant_from_authorization(frontend::authorization(request)) {
         Some(tenant) => Ok(tenant.name.clone()),
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -53,7 +53,7 @@
     if plane.refuses_new_requests() {
         return refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, STOPPING_RETRY_AFTER_S);
     }
-    let Some(table) = plane.known.routing_table() else {
+    let Some(table) = plane.tier_state.routing_table() else {
         return refuse_unexecuted(&plane, StatusCode::SERVICE_UNAVAILABLE, NOT_READY_RETRY_AFTER_S);
     };
     let access = match table.authorize(host(&request), request.uri().path(), authorization(&request)) {
--- a/crates/data-plane/src/live.rs
+++ b/crates/data-plane/src/live.rs
@@ -50,7 +50,7 @@
     /// When the client's deadline or the route's timeout ends, whichever is earlier.
     pub deadline: Instant,
     /// What the choice of a server depends on.
-    demand: RequestProfile,
+    profile: RequestProfile,
     /// Ids of the servers tried so far.
     tried: Vec<String>,
     /// Number of servers that may have executed the request.
@@ -63,7 +63,7 @@
 pub(crate) struct ActiveResponse {
     pub response: UpstreamResponse,
     /// Counts the request as in flight at its server until dropped.
-    pub ticket: InFlightGuard,
+    pub in_flight: InFlightGuard,
 }
 
 /// Why a request has no response.
@@ -127,7 +127,7 @@
         Some(Self {
             timer: ResponseTimer::new(plane.clone(), &service, &access.route),
             service,
-            demand: RequestProfile::from_prefix_header(header_text(request, &PREFIX_HASH)),
+            profile: RequestProfile::from_prefix_header(header_text(request, &PREFIX_HASH)),
             deadline: Instant::now() + deadline.min(route_timeout),
             tried: Vec::new(),
             runs: 0,
@@ -149,29 +149,30 @@
             if time_left.is_zero() {
                 return Err(if self.runs > 0 { Failure::DeadlineExceeded } else { Failure::NotExecuted });
             }
-            let Some(ticket) = self.plane.pool.choose(&self.service, &self.tried, &self.demand) else {
+            let Some(in_flight) = self.plane.pool.choose(&self.service, &self.tried, &self.profile) else {
                 if self.tried.is_empty() && time_left > NO_SERVER_RETRY_DELAY {
                     sleep(NO_SERVER_RETRY_DELAY).await;
                     continue;
                 }
                 return Err(self.failure());
             };
-            self.tried.push(ticket.server.id.clone());
+            self.tried.push(in_flight.server.id.clone());
             let response_timeout = if self.may_leave_idle_server(self.runs + 1) {
                 time_left.min(self.idle_timeout())
             } else {
                 time_left
             };
-            let sent = self.plane.sender.send(&ticket.server, &outgoing, time_left, response_timeout).await;
+            let sent =
+                self.plane.sender.send(&in_flight.server, &outgoing, time_left, response_timeout).await;
             let error = match sent {
                 Ok(response) => {
-                    self.plane.pool.record_response(&ticket, &response);
+                    self.plane.pool.record_response(&in_flight, &response);
                     self.runs += 1;
-                    return Ok(ActiveResponse { response, ticket });
+                    return Ok(ActiveResponse { response, in_flight });
                 }
                 Err(error) => error,
             };
-            self.plane.pool.record_send_error(&ticket.server, &error);
+            self.plane.pool.record_send_error(&in_flight.server, &error);
             match error {
                 SendError::NotSent | SendError::NotExecuted(_) => refusals += 1,
                 SendError::MayHaveExecuted | SendError::TimedOut => self.runs += 1,
@@ -260,8 +261,8 @@
     open: OpenRequest,
     active: ActiveResponse,
 ) -> impl Stream<Item = Result<Bytes, actix_web::Error>> {
-    let ActiveResponse { response, ticket } = active;
-    let parts = Box::new((response, attempts.timer, ticket, open));
+    let ActiveResponse { response, in_flight } = active;
+    let parts = Box::new((response, attempts.timer, in_flight, open));
     stream::unfold(Some(parts), |parts| async move {
         let mut parts = parts?;
         match parts.0.next().await? {
--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -41,7 +41,7 @@
     /// The settings file with the policy of the command line.
     pub settings: Settings,
     /// The configuration, server list and views received so far.
-    pub known: Rc<TierState>,
+    pub tier_state: Rc<TierState>,
     /// Calls other processes of the tier.
     pub caller: Caller,
     /// The servers to choose from, with their load and failures.
@@ -73,7 +73,7 @@
             sender: RequestSender::new(&settings.policy),
             settings,
             timeliness: RefCell::default(),
-            known: Rc::new(TierState::default()),
+            tier_state: Rc::new(TierState::default()),
             caller,
             open_requests: Cell::new(0),
             last_request_ended_at: Cell::new(Instant::now()),
@@ -104,8 +104,8 @@
     /// Only a source whose view a majority confirmed a moment ago sends a configuration, so it was in force when it arrived.
     pub fn is_ready(&self) -> bool {
         if !self.was_ready.get() {
-            let has_servers = !self.known.servers().servers.is_empty();
-            self.was_ready.set(self.known.routing_table().is_some() && has_servers);
+            let has_servers = !self.tier_state.servers().servers.is_empty();
+            self.was_ready.set(self.tier_state.routing_table().is_some() && has_servers);
         }
         self.was_ready.get() && !self.is_stopping()
     }
@@ -115,15 +115,19 @@
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let plane = Rc::new(DataPlane::new(settings));
     let peer_listener = TcpListener::bind(plane.settings.data_peer_address()).await?;
-    let known = plane.known.clone();
-    spawn_local(serve(peer_listener, move |request| answer_peer(known.clone(), request)));
-    spawn_local(subscribe(plane.known.clone(), plane.caller.clone(), Subscription::new(&plane.settings)));
+    let tier_state = plane.tier_state.clone();
+    spawn_local(serve(peer_listener, move |request| answer_peer(tier_state.clone(), request)));
+    spawn_local(subscribe(
+        plane.tier_state.clone(),
+        plane.caller.clone(),
+        Subscription::new(&plane.settings),
+    ));
     spawn_local(update_pool(plane.clone()));
     let incarnation = getrandom::u64().unwrap_or(1);
     let stats_subscription = Subscription::new(&plane.settings);
     spawn_local(exchange_server_stats(
         plane.pool.clone(),
-        plane.known.clone(),
+        plane.tier_state.clone(),
         plane.caller.clone(),
         stats_subscription,
         incarnation,
@@ -162,9 +166,9 @@
 }
 
 /// Answers a call from another process: data planes pass on what they received from the control plane.
-async fn answer_peer(known: Rc<TierState>, request: Request) -> Reply {
+async fn answer_peer(tier_state: Rc<TierState>, request: Request) -> Reply {
     match request {
-        Request::Watch(watch) => Reply::Watch(Box::new(known.wait_for_update(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(tier_state.wait_for_update(&watch).await)),
         _ => Reply::Unsupported,
     }
 }
@@ -173,11 +177,11 @@
 /// the control plane's list is out of date.
 async fn update_pool(plane: Rc<DataPlane>) {
     let client = platform_client();
-    let mut reader = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
+    let mut versioner = ServerListVersioner::new(getrandom::u64().unwrap_or(1));
     loop {
-        plane.pool.update(&plane.known.servers());
-        plane.sender.retain_servers(&plane.known.servers().servers);
-        let is_outdated = plane.known.server_list_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
+        plane.pool.update(&plane.tier_state.servers());
+        plane.sender.retain_servers(&plane.tier_state.servers().servers);
+        let is_outdated = plane.tier_state.server_list_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
         // Gives the control plane time to send the first list after this process has started.
 
         let is_settled = plane.started_at.elapsed() > MAX_SERVER_LIST_AGE * 2;
@@ -185,8 +189,10 @@
             let requested_at = Instant::now();
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    plane.known.update_servers(Some(reader.assign_version(servers)), requested_at.elapsed());
-                    plane.pool.update(&plane.known.servers());
+                    plane
+                        .tier_state
+                        .update_servers(Some(versioner.assign_version(servers)), requested_at.elapsed());
+                    plane.pool.update(&plane.tier_state.servers());
                 }
                 Err(error) => {
                     log::warn!(
@@ -195,7 +201,7 @@
                 }
             }
         }
-        let _ = tokio::time::timeout(POOL_UPDATE_INTERVAL, plane.known.changed()).await;
+        let _ = tokio::time::timeout(POOL_UPDATE_INTERVAL, plane.tier_state.changed()).await;
     }
 }
 
--- a/crates/data-plane/src/resumable_stream.rs
+++ b/crates/data-plane/src/resumable_stream.rs
@@ -15,7 +15,7 @@
     attempts: Attempts,
     /// The response that is being read; `None` after it failed.
     active: Option<ActiveResponse>,
-    reader: EventParser,
+    parser: EventParser,
     order: EventOrder,
     /// Whether the current response contained an event that is not the next one. The rest of it is discarded.
     out_of_order: bool,
@@ -40,7 +40,7 @@
     let resumable = ResumableStream {
         attempts,
         active: Some(active),
-        reader: EventParser::default(),
+        parser: EventParser::default(),
         order: EventOrder::default(),
         out_of_order: false,
         _open: open,
@@ -66,14 +66,14 @@
             let next = timeout(idle_timeout, active.response.next()).await;
             match next.unwrap_or(Some(Err(TruncatedBody))) {
                 Some(Ok(bytes)) => {
-                    self.reader.push(&bytes);
+                    self.parser.push(&bytes);
                     let events = self.complete_events();
                     if !events.is_empty() {
                         self.attempts.timer.record_data();
                         return Step::Events(events);
                     }
                 }
-                None if !self.reader.has_partial_event() => return Step::End,
+                None if !self.parser.has_partial_event() => return Step::End,
                 Some(Err(_)) | None => {
                     if !self.resume_elsewhere().await {
                         return Step::Failed;
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Takes the complete events from the reader, up to the first one that is out of order.
+    /// Takes the complete events from the parser, up to the first one that is out of order.
     fn complete_events(&mut self) -> Bytes {
         let mut bytes = Vec::new();
-        for event in self.reader.by_ref() {
+        for event in self.parser.by_ref() {
             if !self.order.accept(&event) {
                 self.out_of_order = true;
                 break;
@@ -109,9 +109,9 @@
     /// succeeded.
     async fn resume_elsewhere(&mut self) -> bool {
         if let Some(failed) = self.active.take() {
-            self.attempts.plane.pool.record_failure(&failed.ticket.server.id);
+            self.attempts.plane.pool.record_failure(&failed.in_flight.server.id);
         }
-        self.reader = EventParser::default();
+        self.parser = EventParser::default();
         if self.attempts.runs >= self.attempts.max_runs() {
             return false;
         }
--- a/crates/data-plane/src/usage.rs
+++ b/crates/data-plane/src/usage.rs
@@ -60,7 +60,7 @@
 pub async fn report_usage(plane: Rc<DataPlane>) {
     for round in 0_u64.. {
         sleep(REPORT_INTERVAL).await;
-        let Some(view) = plane.known.view() else { continue };
+        let Some(view) = plane.tier_state.view() else { continue };
         let timeliness = plane.timeliness.borrow().report();
         let report = plane.usage.borrow().report(&plane.settings.node, timeliness);
         if report.windows.is_empty() && report.timeliness.is_empty() {
--- a/crates/standins/examples/hollow.rs
+++ b/crates/standins/examples/hollow.rs
@@ -81,19 +81,19 @@
 
 /// Starts a hollow data plane. Returns the state that it receives.
 fn follow(number: usize, seeds: Vec<std::net::SocketAddr>) -> Rc<TierState> {
-    let known = Rc::new(TierState::default());
+    let tier_state = Rc::new(TierState::default());
     let subscription = Subscription {
         node: format!("hollow-{number}"),
         zone: format!("zone-{}", number % 3),
         seeds: Box::new(move || seeds.clone()),
     };
-    spawn_local(subscribe(known.clone(), Caller::default(), subscription));
-    known
+    spawn_local(subscribe(tier_state.clone(), Caller::default(), subscription));
+    tier_state
 }
 
 /// Waits until all followers have a generation.
 async fn wait_for(followers: &[Rc<TierState>], generation: u64) {
-    while followers.iter().any(|known| known.generation() < generation) {
+    while followers.iter().any(|tier_state| tier_state.generation() < generation) {
         sleep(Duration::from_millis(1)).await;
     }
 }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -247,8 +247,8 @@
 /// Periodic report of a store to the head of the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHeartbeat {
-    /// The store and the groups that it has copies of.
-    pub store: StoreReport,
+    /// The store and the groups that it holds or has copied.
+    pub report: StoreReport,
     /// Number of entries in each group that the store has; empty in most heartbeats.
     pub entry_counts: Vec<(GroupNumber, u64)>,
     /// Ids of batch jobs that the store accepted as a head and has not reported to this head of the core yet, by group.
@@ -322,10 +322,10 @@
     /// To the predecessor, from a store that has stayed behind in the view: check the sender's state of these groups again
     /// and send what it lacks.
     RecheckGroups { epoch: u64, groups: Vec<GroupNumber> },
-    /// From a learner: reads the entries after a position, or a copy of the group if they are no longer kept.
+    /// From a learner: reads the entries after a position, or a snapshot of the group if they are no longer kept.
     FetchEntries { epoch: u64, group: GroupNumber, after: EntryPosition },
-    /// From the predecessor in the chain: replaces the store's state of a group by a copy.
-    InstallCopy { epoch: u64, group: GroupNumber, copy: GroupSnapshot },
+    /// From the predecessor in the chain: replaces the store's state of a group by a snapshot.
+    InstallSnapshot { epoch: u64, group: GroupNumber, snapshot: GroupSnapshot },
     /// Reads the store's counters.
     Counters,
 }
@@ -379,12 +379,12 @@
     EpochMismatch(u64),
     /// The store's position in a group.
     Position(EntryPosition),
-    /// The copy is on the store's disk.
+    /// The snapshot is on the store's disk.
     Installed,
     /// Entries after the position of a [`StoreRequest::FetchEntries`].
     Entries(EntryBatch),
-    /// A copy of the group, since entries after the position are no longer kept.
-    Copy(GroupSnapshot),
+    /// A snapshot of the group, since entries after the position are no longer kept.
+    Snapshot(GroupSnapshot),
     /// The store's counters.
     Counters(StoreCounters),
 }
