--- a/crates/data-plane/src/process.rs
+++ b/crates/data-plane/src/process.rs
@@ -183,7 +183,6 @@
         plane.sender.retain_servers(&plane.tier_state.servers().servers);
         let is_outdated = plane.tier_state.server_list_age().is_none_or(|age| age > MAX_SERVER_LIST_AGE);
         // Gives the control plane time to send the first list after this process has started.
-
         let is_settled = plane.started_at.elapsed() > MAX_SERVER_LIST_AGE * 2;
         if let (true, true, Some(platform)) = (is_outdated, is_settled, plane.settings.cloud.addr) {
             let requested_at = Instant::now();
--- a/crates/standins/src/tier.rs
+++ b/crates/standins/src/tier.rs
@@ -132,6 +132,8 @@
         )
     }
 
+    /// Writes the settings of one process. `node` is its name, which ends with its number; processes with the same number are
+    /// in the same zone. `listen` holds the entries of the table of that name.
     fn settings(&self, node: &str, serves: &str, host: u8, listen: &str, has_disk: bool) -> String {
         let ip = Self::host_ip(host);
         let seed = |machine: u8| match self.uses_relays {
