--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -66,7 +66,7 @@
 impl HeartbeatTracker {
     /// Records a store's heartbeat.
     pub fn record(&self, heartbeat: StoreHeartbeat) {
-        let StoreHeartbeat { store, entry_counts, accepted_jobs } = heartbeat;
+        let StoreHeartbeat { report: store, entry_counts, accepted_jobs } = heartbeat;
         self.record_job_ids(accepted_jobs);
         let at = Instant::now();
         let identity = store.member.identity.clone();
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -66,7 +66,7 @@
                 replica.mark_durable(batch.end);
                 replica.may_report_copied(batch.end, missing_count)
             }
-            Some(StoreReply::Copy(copy)) => {
+            Some(StoreReply::Snapshot(copy)) => {
                 let installed = self.replica(group).borrow_mut().install_snapshot(epoch, &copy);
                 self.write_installed(group, after, installed, &copy).await;
                 false
@@ -94,7 +94,7 @@
                 false => StoreReply::Undetermined,
             },
             CatchUp::Snapshot => match self.synced_copy(group, until).await {
-                Some(copy) => StoreReply::Copy(copy),
+                Some(copy) => StoreReply::Snapshot(copy),
                 None => StoreReply::Undetermined,
             },
         }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -198,7 +198,8 @@
             StoreRequest::FetchEntries { epoch, group, after } => {
                 self.fetch_entries(epoch, group, after).await
             }
-            StoreRequest::InstallCopy { epoch, group, copy } => self.install_copy(epoch, group, &copy).await,
+            StoreRequest::InstallSnapshot { epoch, group, snapshot: copy } => { self.install_copy(epoch, group, &copy).await
+            }
             StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
                 self.journal.counters(),
                 &self.entry_counters,
