--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,9 +1,9 @@
-//! The work of one job's decisions at a gateway, by the size of the fleet that it is part of.
+//! The time of one job's decisions at a gateway, by the number of gateways.
 //!
-//! Each round is one job of a customer not seen for a while: it arrives, its call to the counter comes back
-//! with room where one was made, it is relayed, and its server answers. A gateway of 3, 30 or 300 knows 200
-//! servers and 10,000 customers. The figure per round must not grow with the number of gateways: at 300 each
-//! one's parts are small, calls rest and jobs are judged alone more often, but no list of the fleet is walked.
+//! Each iteration is one job of a customer that has not been seen for a while: it arrives, its counter call (if any)
+//! returns a total that permits it, it is relayed, and its server answers. One gateway of 3, 30 or 300 knows 200 servers
+//! and 10,000 customers. The time must not grow with the number of gateways: with 300, shares are small, calls pause and
+//! jobs are granted locally more often, but no list of the whole fleet is walked.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use fennelgauge::choice::Gateway;
@@ -14,14 +14,14 @@
 const SERVERS: u32 = 200;
 const CUSTOMERS: u64 = 10_000;
 
-/// Keeps the last relay and call, to answer them; all else is dropped.
+/// Keeps the latest relay and counter call, to answer them; other actions are ignored.
 #[derive(Default)]
-struct Last {
+struct LatestActions {
     relay: Option<(JobId, ServerId)>,
     call: Option<CounterKey>,
 }
 
-impl Host for Last {
+impl Host for LatestActions {
     fn relay(&mut self, job: JobId, server: ServerId, _: Span) {
         self.relay = Some((job, server));
     }
@@ -29,15 +29,15 @@
     fn reject(&mut self, _: JobId, _: Option<Span>) {}
     fn fail(&mut self, _: JobId) {}
     fn set_timer(&mut self, _: Span, _: u64) {}
-    fn add_to_counter(&mut self, name: CounterKey, _: f64, _: Span) {
-        self.call = Some(name);
+    fn add_to_counter(&mut self, key: CounterKey, _: f64, _: Span) {
+        self.call = Some(key);
     }
     fn subscribe_to_roster(&mut self) {}
 }
 
-/// Three plans as on the mass days: a small hard rate, a cap on relays out, a soft one with a ceiling.
+/// Three plans: a small rate quota without free overage, a concurrency quota, and free overage with a ceiling.
 fn deployment(gateways: u32) -> Deployment {
-    let band = |target| ServiceClass {
+    let class = |target| ServiceClass {
         latency_target: Span::from_millis(target),
         benefit: 1.0,
         late_benefit_share: 0.2,
@@ -47,7 +47,7 @@
     Deployment {
         gateway_count: gateways,
         tick: Span::from_millis(1),
-        classes: vec![band(1_100), band(735)],
+        classes: vec![class(1_100), class(735)],
         plans: vec![
             Plan { rate: 1.6, burst: 8.0, price: 0.72, overage_cost: 1.2, ..Plan::default() },
             Plan { max_concurrent_relays: 2.0, price: 1.2, overage_cost: 0.5, ..Plan::default() },
@@ -73,16 +73,17 @@
     }
 }
 
-struct Play {
-    gateway: Gateway<Last>,
+/// One gateway and the state of the simulated world around it.
+struct Simulation {
+    gateway: Gateway<LatestActions>,
     now: Moment,
     job: JobId,
 }
 
-impl Play {
+impl Simulation {
     fn new(gateways: u32) -> Self {
         let now = Moment::from_micros(1_800_000_000_000_000);
-        let mut gateway = Gateway::start(now, Last::default(), deployment(gateways), 7);
+        let mut gateway = Gateway::start(now, LatestActions::default(), deployment(gateways), 7);
         let entry = |server| RosterEntry {
             server,
             health: Health::Ready,
@@ -92,16 +93,16 @@
             started: None,
         };
         gateway.roster_replaced(now, (0..SERVERS).map(entry));
-        let mut play = Self { gateway, now, job: 0 };
-        // Every customer is known once before the rounds are timed.
+        let mut simulation = Self { gateway, now, job: 0 };
+        // Every customer is known before the measurement starts.
         for _ in 0..CUSTOMERS {
-            play.round();
+            simulation.run_job();
         }
-        play
+        simulation
     }
 
-    /// One job of the next customer, to its end; half a millisecond apart.
-    fn round(&mut self) {
+    /// Runs one job of the next customer to its end; jobs arrive every half a millisecond.
+    fn run_job(&mut self) {
         self.now = self.now + Span::from_micros(500);
         self.job += 1;
         let (job, customer) = (self.job, self.job % CUSTOMERS);
@@ -116,13 +117,8 @@
             abandon_at: self.now + Span::from_millis(2_000),
         };
         self.gateway.job_arrived(self.now, arrival);
-        if let Some(name) = self.gateway.host.call.take() {
-            self.gateway.counter_replied(
-                self.now + Span::from_millis(2),
-                name,
-                Some(1.0),
-                Outcome::Succeeded,
-            );
+        if let Some(key) = self.gateway.host.call.take() {
+            self.gateway.counter_replied(self.now + Span::from_millis(2), key, Some(1.0), Outcome::Succeeded);
         }
         if let Some((job, server)) = self.gateway.host.relay.take() {
             let took = Span::from_millis(70);
@@ -130,25 +126,25 @@
                 RelayEnd { job, server, outcome: Outcome::Succeeded, duration: took, job_finished: true };
             self.gateway.relay_ended(self.now + took, end);
         }
-        // What is left of the job ends here, as a client that goes away would end it.
+        // Ends the job if it is still open, as a client that disconnects would.
         self.gateway.job_closed(self.now, job);
     }
 }
 
-fn rounds(criterion: &mut Criterion) {
+fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one job, 200 servers, 10,000 customers");
     group.throughput(Throughput::Elements(1));
     for gateways in [3, 30, 300] {
-        let mut play = Play::new(gateways);
+        let mut simulation = Simulation::new(gateways);
         group.bench_with_input(BenchmarkId::new("gateways", gateways), &gateways, |bench, _| {
             bench.iter(|| {
-                play.round();
-                black_box(&play.gateway);
+                simulation.run_job();
+                black_box(&simulation.gateway);
             })
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, rounds);
+criterion_group!(benches, decisions);
 criterion_main!(benches);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host that keeps what a gateway asked of it, and a small deployment to run it in.
+//! A host that records the actions of a gateway, and a small deployment for tests.
 
 use fennelgauge::choice::Gateway;
 use fennelgauge::host::*;
@@ -7,66 +7,74 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Relay(JobId, ServerId, Span),
-    Withdraw(JobId, u8),
-    Dismiss(JobId),
-    Forfeit(JobId),
-    Wake(Span, u64),
-    Add(CounterKey, f64),
-    Among(CounterKey, f64, ConditionalAdd),
+    CancelRelay(JobId, u8),
+    Reject(JobId),
+    Fail(JobId),
+    SetTimer(Span, u64),
+    AddToCounter(CounterKey, f64),
+    AddToPeerCount(CounterKey, f64, ConditionalAdd),
 }
 
-/// The second says whether the gateways can count among themselves, the third among how many a quota is shared.
+/// Records all actions. Clones share their state, so that a test can hold one beside the gateway.
 #[derive(Clone, Default)]
-pub struct Notes(pub Rc<RefCell<Vec<Act>>>, pub Rc<Cell<bool>>, pub Rc<Cell<Option<f64>>>);
+pub struct RecordingHost {
+    actions: Rc<RefCell<Vec<Action>>>,
+    /// Whether the gateways can keep totals themselves.
+    pub peers_can_count: Rc<Cell<bool>>,
+    /// Among how many gateways a quota is shared; `None` for all of the customer's set.
+    pub sharers: Rc<Cell<Option<f64>>>,
+}
 
-impl Notes {
-    pub fn take(&self) -> Vec<Act> {
-        self.0.take()
+impl RecordingHost {
+    /// Returns the actions since the last call.
+    pub fn take(&self) -> Vec<Action> {
+        self.actions.take()
     }
 
-    fn put(&self, act: Act) {
-        self.0.borrow_mut().push(act);
+    fn record(&self, action: Action) {
+        self.actions.borrow_mut().push(action);
     }
 }
 
-impl Host for Notes {
+impl Host for RecordingHost {
     fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
-        self.put(Act::Relay(job, server, patience));
+        self.record(Action::Relay(job, server, patience));
     }
     fn cancel_relay(&mut self, job: JobId, relay: u8) {
-        self.put(Act::Withdraw(job, relay));
+        self.record(Action::CancelRelay(job, relay));
     }
     fn reject(&mut self, job: JobId, _: Option<Span>) {
-        self.put(Act::Dismiss(job));
+        self.record(Action::Reject(job));
     }
     fn fail(&mut self, job: JobId) {
-        self.put(Act::Forfeit(job));
+        self.record(Action::Fail(job));
     }
     fn set_timer(&mut self, after: Span, mark: u64) {
-        self.put(Act::Wake(after, mark));
+        self.record(Action::SetTimer(after, mark));
     }
     fn add_to_counter(&mut self, name: CounterKey, amount: f64, _: Span) {
-        self.put(Act::Add(name, amount));
+        self.record(Action::AddToCounter(name, amount));
     }
     fn peers_can_count(&mut self) -> bool {
-        self.1.get()
+        self.peers_can_count.get()
     }
     fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
-        self.put(Act::Among(name, amount, wanted));
+        self.record(Action::AddToPeerCount(name, amount, wanted));
     }
     fn quota_sharers(&mut self, _: u32, set_size: f64) -> f64 {
-        self.2.get().unwrap_or(set_size)
+        self.sharers.get().unwrap_or(set_size)
     }
     fn subscribe_to_roster(&mut self) {}
 }
 
+/// The ceiling of the plan with free overage.
 pub const CEILING: Ceiling = Ceiling { rate: 3.0, burst: 12.0, slack: 1.0 };
 
-/// Every kind of band; a plan of rate, one of relays out, a soft one with a ceiling.
+/// One service class per repeat policy; plans with a rate quota, a concurrency quota, and free overage with a ceiling.
 pub fn deployment() -> Deployment {
-    let band = |repeat| ServiceClass {
+    let class = |repeat| ServiceClass {
         latency_target: Span::from_millis(500),
         benefit: 1.0,
         late_benefit_share: 0.1,
@@ -77,10 +85,10 @@
         gateway_count: 2,
         tick: Span::from_millis(2),
         classes: vec![
-            band(RepeatPolicy::Idempotent),
-            band(RepeatPolicy::Deduplicated(DedupScope::All, window)),
-            band(RepeatPolicy::Deduplicated(DedupScope::Cell, window)),
-            band(RepeatPolicy::NonIdempotent),
+            class(RepeatPolicy::Idempotent),
+            class(RepeatPolicy::Deduplicated(DedupScope::All, window)),
+            class(RepeatPolicy::Deduplicated(DedupScope::Cell, window)),
+            class(RepeatPolicy::NonIdempotent),
         ],
         plans: vec![
             Plan { rate: 4.0, burst: 12.0, overage_cost: 1.0, ..Plan::default() },
@@ -101,19 +109,22 @@
     }
 }
 
+/// Returns a time in milliseconds after the start of the test.
 pub fn at(millis: u64) -> Moment {
     Moment::from_micros(1_000_000_000 + millis * 1_000)
 }
 
+/// Returns a roster entry; servers with even and odd ids are in two cells.
 pub fn entry(server: ServerId, health: Health, started: Option<Moment>) -> RosterEntry {
     RosterEntry { server, health, rating: 1.0, zone: 0, cell: (server % 2) as u16, started }
 }
 
-pub fn arrival(job: JobId, band: usize, plan: usize, units: f64, abandon: Moment) -> Arrival {
+/// Returns a job of the plan's only customer, whose jobs arrive through two gateways.
+pub fn arrival(job: JobId, class: usize, plan: usize, units: f64, abandon: Moment) -> Arrival {
     Arrival {
         job,
         customer: 7 + plan as u64,
-        class: band,
+        class,
         plan,
         units,
         first_gateway: 0,
@@ -122,14 +133,15 @@
     }
 }
 
-/// A gateway that knows `servers` warm servers.
-pub fn gateway(deployment: Deployment, servers: u32) -> (Gateway<Notes>, Notes) {
-    let notes = Notes::default();
-    let mut gateway = Gateway::start(at(0), notes.clone(), deployment, 5);
+/// Starts a gateway that knows `servers` warm servers, and returns it with its host.
+pub fn gateway(deployment: Deployment, servers: u32) -> (Gateway<RecordingHost>, RecordingHost) {
+    let host = RecordingHost::default();
+    let mut gateway = Gateway::start(at(0), host.clone(), deployment, 5);
     gateway.roster_replaced(at(0), (0..servers).map(|id| entry(id, Health::Ready, None)));
-    (gateway, notes)
+    (gateway, host)
 }
 
+/// Returns the end of a relay after `took` milliseconds.
 pub fn end(job: JobId, server: ServerId, outcome: Outcome, took: u64) -> RelayEnd {
     RelayEnd {
         job,
--- a/tests/found.rs
+++ b/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found.
+//! Regression tests: one for each fault that was found in simulations.
 
 mod common;
 
@@ -8,70 +8,78 @@
 use fennelgauge::time::Span;
 use std::collections::BTreeMap;
 
-fn count_of(acts: &[Act]) -> Option<(CounterKey, f64)> {
-    acts.iter().find_map(|act| if let Act::Add(name, amount) = act { Some((*name, *amount)) } else { None })
+fn counter_add(actions: &[Action]) -> Option<(CounterKey, f64)> {
+    actions.iter().find_map(|action| {
+        if let Action::AddToCounter(key, amount) = action {
+            Some((*key, *amount))
+        } else {
+            None
+        }
+    })
 }
 
-fn relayed(acts: &[Act]) -> Option<ServerId> {
-    acts.iter().find_map(|act| if let Act::Relay(_, server, _) = act { Some(*server) } else { None })
+fn relay_server(actions: &[Action]) -> Option<ServerId> {
+    actions
+        .iter()
+        .find_map(|action| if let Action::Relay(_, server, _) = action { Some(*server) } else { None })
 }
 
-/// A job with room in its quota but not in its ceiling slept past its abandon time.
+/// A job within its quota but above its ceiling was held beyond its abandon time.
 #[test]
-fn a_job_short_of_its_ceiling_is_ended_in_time() {
+fn a_job_above_its_ceiling_is_rejected_in_time() {
     let mut deployment = deployment();
     deployment.plans[2].ceiling = Some(Ceiling { rate: 0.01, ..CEILING });
-    let (mut gateway, notes) = gateway(deployment, 2);
+    let (mut gateway, host) = gateway(deployment, 2);
     gateway.job_arrived(at(10), arrival(1, 0, 2, 4.0, at(400)));
-    let (name, amount) = count_of(&notes.take()).expect("an ask");
-    gateway.counter_replied(at(12), name, Some(amount), Outcome::Succeeded);
-    assert!(notes.take().contains(&Act::Dismiss(1)));
+    let (key, amount) = counter_add(&host.take()).expect("a counter call");
+    gateway.counter_replied(at(12), key, Some(amount), Outcome::Succeeded);
+    assert!(host.take().contains(&Action::Reject(1)));
 }
 
-/// Slow answers made every job look too late, and nothing was sent that could show otherwise.
+/// Slow answers made every job look too late, so no relay was sent that could have corrected the measurement.
 #[test]
 fn slow_answers_do_not_end_all_relays() {
     let mut deployment = deployment();
     deployment.plans[0] = Plan::default();
-    let (mut gateway, notes) = gateway(deployment, 2);
+    let (mut gateway, host) = gateway(deployment, 2);
     for job in 0..200 {
         let now = job * 2_000;
         gateway.job_arrived(at(now), arrival(job, 0, 0, 1.0, at(now + 1_900)));
-        let server = relayed(&notes.take()).expect("a relay");
+        let server = relay_server(&host.take()).expect("a relay");
         gateway.relay_ended(at(now + 1_500), end(job, server, Outcome::Succeeded, 1_500));
     }
 }
 
-/// Units asked for and not granted stayed on the count and shut out the other gateways.
+/// Units requested but not granted stayed in the total and locked out the other gateways.
 #[test]
-fn what_was_asked_in_vain_is_taken_back() {
-    let (mut gateway, notes) = gateway(deployment(), 2);
+fn units_requested_but_not_granted_are_returned() {
+    let (mut gateway, host) = gateway(deployment(), 2);
     gateway.job_arrived(at(10), arrival(1, 0, 1, 1.0, at(2_000)));
-    let (name, amount) = count_of(&notes.take()).expect("an ask");
-    gateway.counter_replied(at(12), name, Some(amount + 3.0), Outcome::Succeeded);
-    assert_eq!(count_of(&notes.take()), Some((name, -amount)));
+    let (key, amount) = counter_add(&host.take()).expect("a counter call");
+    gateway.counter_replied(at(12), key, Some(amount + 3.0), Outcome::Succeeded);
+    assert_eq!(counter_add(&host.take()), Some((key, -amount)));
 }
 
-/// Time-outs of a crowded counter made more calls, which crowded it further.
+/// Time-outs of an overloaded counter caused more calls, which overloaded it further.
 #[test]
-fn a_crowded_counter_is_not_called_more() {
-    let (mut gateway, notes) = gateway(deployment(), 2);
+fn calls_to_a_counter_are_limited() {
+    let (mut gateway, host) = gateway(deployment(), 2);
     for job in 0..100 {
         let arrival = Arrival { customer: 1_000 + job, ..arrival(job, 0, 0, 1.0, at(2_000)) };
         gateway.job_arrived(at(10), arrival);
     }
-    let calls = notes.take().iter().filter(|act| matches!(act, Act::Add(..))).count();
+    let calls = host.take().iter().filter(|action| matches!(action, Action::AddToCounter(..))).count();
     assert!((1..=6).contains(&calls), "{calls}");
 }
 
-/// Judged alone, every gateway of a set rounded its part of a job up, again and again, and together they
-/// passed the quota. Now one job of each goes at first, and then no more than the pace for all.
+/// Without a counter, every gateway of a set repeatedly rounded its share of the quota up to a whole job, and together
+/// they exceeded the quota. Each may grant one job at first; after that, all together keep to the rate.
 #[test]
-fn gateways_judging_alone_keep_the_pace_together() {
+fn gateways_without_a_counter_keep_the_quota_together() {
     let mut sent = 0;
     for own_index in 0..8 {
         let deployment = Deployment { gateway_count: 8, own_index, has_counter: false, ..deployment() };
-        let (mut gateway, notes) = gateway(deployment, 4);
+        let (mut gateway, host) = gateway(deployment, 4);
         for job in 0..400 {
             let (now, set_size) = (10 + job * 50, 8);
             gateway.job_closed(at(now), job.saturating_sub(1));
@@ -79,8 +87,8 @@
                 at(now),
                 Arrival { gateway_set_size: set_size, ..arrival(job, 0, 0, 1.0, at(now + 500)) },
             );
-            for act in notes.take() {
-                if let Act::Relay(job, server, _) = act {
+            for action in host.take() {
+                if let Action::Relay(job, server, _) = action {
                     sent += 1;
                     gateway.relay_ended(at(now + 1), end(job, server, Outcome::Succeeded, 1));
                 }
@@ -92,14 +100,14 @@
     assert!(f64::from(sent) > pace && f64::from(sent) <= pace + plan.burst + 8.0, "{sent}");
 }
 
-/// Relays of one kind that hung until their abandon time kept their places at servers that answered all else.
+/// Relays that hung until their abandon time occupied capacity at servers that answered all other jobs.
 #[test]
-fn a_relay_that_hangs_gives_its_place_back_where_late_earns_nothing() {
-    for (late_share, taken_back) in [(0.0, true), (0.2, false)] {
+fn a_hanging_relay_is_cancelled_if_a_late_answer_earns_nothing() {
+    for (late_share, cancelled) in [(0.0, true), (0.2, false)] {
         let mut deployment = deployment();
         deployment.plans[0] = Plan::default();
         deployment.classes[0].late_benefit_share = late_share;
-        let (mut gateway, notes) = gateway(deployment, 1);
+        let (mut gateway, host) = gateway(deployment, 1);
         gateway.job_arrived(at(10), arrival(1, 0, 0, 1.0, at(5_000)));
         for job in 2..60 {
             let now = job * 40;
@@ -107,33 +115,33 @@
             gateway.relay_ended(at(now + 20), end(job, 0, Outcome::Succeeded, 20));
             gateway.timer_fired(at(now + 20), 1);
         }
-        assert_eq!(notes.take().contains(&Act::Withdraw(1, 0)), taken_back);
+        assert_eq!(host.take().contains(&Action::CancelRelay(1, 0)), cancelled);
     }
 }
 
-/// Eleven gateways each began with four relays a server and together gave it more than it could work off.
+/// Eleven gateways each started with four relays per server, which together overloaded it.
 #[test]
-fn what_a_server_gets_at_first_is_divided_by_the_gateways() {
+fn the_initial_limit_per_server_is_divided_among_the_gateways() {
     for (gateways, most) in [(2, 6), (12, 1)] {
         let mut deployment = Deployment { gateway_count: gateways, ..deployment() };
         deployment.plans[0] = Plan::default();
-        let (mut gateway, notes) = gateway(deployment, 1);
+        let (mut gateway, host) = gateway(deployment, 1);
         (0..20).for_each(|job| gateway.job_arrived(at(10), arrival(job, 0, 0, 1.0, at(2_000))));
-        assert_eq!(notes.take().iter().filter(|act| matches!(act, Act::Relay(..))).count(), most);
+        assert_eq!(host.take().iter().filter(|action| matches!(action, Action::Relay(..))).count(), most);
     }
 }
 
-/// A server that turned all away at once looked idle and drew most of the relays.
+/// A server that refused all jobs at once looked idle and attracted most of the relays.
 #[test]
-fn a_server_that_turns_all_away_draws_no_relays() {
+fn a_server_that_refuses_all_jobs_attracts_no_relays() {
     let mut deployment = deployment();
     deployment.plans[0] = Plan::default();
-    let (mut gateway, notes) = gateway(deployment, 4);
+    let (mut gateway, host) = gateway(deployment, 4);
     let mut sent = 0;
     for job in 0..400 {
         let arrival = Arrival { customer: job % 50, ..arrival(job, 0, 0, 1.0, at(job * 20 + 2_000)) };
         gateway.job_arrived(at(job * 20), arrival);
-        while let Some(server) = relayed(&notes.take()) {
+        while let Some(server) = relay_server(&host.take()) {
             let outcome = if server == 0 { Outcome::Full } else { Outcome::Succeeded };
             sent += usize::from(server == 0);
             gateway.relay_ended(at(job * 20 + 1), end(job, server, outcome, 1));
@@ -142,22 +150,22 @@
     assert!(sent < 40, "{sent}");
 }
 
-/// A window's units were all to be had at its start, ahead of what the quota had filled.
+/// All units of a window were granted at its start, before the quota had refilled them.
 #[test]
-fn the_units_of_a_window_come_in_evenly() {
-    let (mut gateway, notes) = gateway(deployment(), 4);
+fn the_units_of_a_window_accrue_evenly() {
+    let (mut gateway, host) = gateway(deployment(), 4);
     let mut sent = 0.0;
     let mut totals = BTreeMap::new();
     for job in 0..1_000 {
         gateway.job_arrived(at(job * 10), arrival(job, 0, 0, 1.0, at(job * 10 + 200)));
-        for act in notes.take() {
-            match act {
-                Act::Add(name, amount) => {
-                    let total = totals.entry(name).or_insert(0.0);
+        for action in host.take() {
+            match action {
+                Action::AddToCounter(key, amount) => {
+                    let total = totals.entry(key).or_insert(0.0);
                     *total += amount;
-                    gateway.counter_replied(at(job * 10), name, Some(*total), Outcome::Succeeded);
+                    gateway.counter_replied(at(job * 10), key, Some(*total), Outcome::Succeeded);
                 }
-                Act::Relay(job, server, _) => {
+                Action::Relay(job, server, _) => {
                     sent += 1.0;
                     gateway.relay_ended(at(job * 10), end(job, server, Outcome::Succeeded, 1));
                 }
@@ -169,18 +177,18 @@
     assert!(sent <= plan.burst + plan.rate * 10.0 + 8.0, "{sent}");
 }
 
-/// Where idle servers take a fifth of the target time, every answer counted as slow and all got the least.
+/// If idle servers take a fifth of the latency target, every answer counted as slow and all limits fell to the minimum.
 #[test]
-fn servers_of_a_slow_kind_are_not_cut_for_their_pace() {
+fn servers_that_are_slow_without_load_are_not_limited_for_it() {
     let mut deployment = Deployment { gateway_count: 12, ..deployment() };
     deployment.plans[0] = Plan::default();
-    let (mut gateway, notes) = gateway(deployment, 1);
+    let (mut gateway, host) = gateway(deployment, 1);
     let mut last = 0;
     for job in 0..4_000 {
         let (now, took) = (job * 200, [60, 94, 102][job as usize / 4 % 3]);
         gateway.job_arrived(at(now), arrival(job, 0, 0, 1.0, at(now + 480)));
-        for act in notes.take() {
-            if let Act::Relay(id, server, _) = act {
+        for action in host.take() {
+            if let Action::Relay(id, server, _) = action {
                 last += usize::from(job >= 3_500);
                 gateway.relay_ended(at(now + took), end(id, server, Outcome::Succeeded, took));
             }
@@ -189,51 +197,51 @@
     assert!(last > 400, "{last}");
 }
 
-/// Rule 5 with a counter that always has room: the gateways of a set must not each have the whole ceiling.
+/// Rule 5 with a counter that always grants: each gateway of a set must not use the whole ceiling.
 #[test]
 fn gateways_of_a_set_keep_the_ceiling_whatever_the_counter_says() {
     let mut sent = 0.0;
     for own_index in 0..2 {
-        let (mut gateway, notes) = gateway(Deployment { own_index, ..deployment() }, 8);
+        let (mut gateway, host) = gateway(Deployment { own_index, ..deployment() }, 8);
         for job in 0..20 {
-            // The first job comes when the ceiling starts to fill, the rest when it has long been full.
+            // The first job arrives when the ceiling starts to refill, the others when it has long been full.
             let now = if job == 0 { 0 } else { 20_000 };
             gateway.job_arrived(at(now), arrival(job, 0, 2, 1.0, at(now + 1_000)));
-            let mut acts = notes.take();
-            while let Some(act) = acts.pop() {
-                match act {
-                    Act::Add(name, _) => {
-                        gateway.counter_replied(at(now), name, Some(0.0), Outcome::Succeeded)
+            let mut actions = host.take();
+            while let Some(action) = actions.pop() {
+                match action {
+                    Action::AddToCounter(key, _) => {
+                        gateway.counter_replied(at(now), key, Some(0.0), Outcome::Succeeded)
                     }
-                    Act::Relay(job, server, _) => {
+                    Action::Relay(job, server, _) => {
                         sent += 1.0;
                         gateway.relay_ended(at(now), end(job, server, Outcome::Succeeded, 1));
                     }
                     _ => {}
                 }
-                acts.append(&mut notes.take());
+                actions.append(&mut host.take());
             }
         }
     }
     assert!(sent > CEILING.burst / 2.0 && sent <= CEILING.burst + CEILING.slack, "{sent}");
 }
 
-/// Each of a hundred gateways asked a counter that turns calls away again at once, a hundred times a job.
+/// Each of a hundred gateways retried calls to a counter that refuses them at once, a hundred times per job.
 #[test]
-fn calls_rest_where_many_gateways_share_a_counter() {
-    let (mut gateway, notes) = gateway(Deployment { gateway_count: 100, ..deployment() }, 4);
+fn calls_pause_if_many_gateways_share_a_counter() {
+    let (mut gateway, host) = gateway(Deployment { gateway_count: 100, ..deployment() }, 4);
     let mut calls = 0;
     for job in 0..40 {
-        // Two jobs of each customer: one goes alone, the other waits for a total.
+        // Two jobs of each customer: one is granted locally, the other waits for a total.
         let arrival =
             Arrival { customer: job / 2, gateway_set_size: 100, ..arrival(job, 0, 0, 2.0, at(2_000)) };
         gateway.job_arrived(at(10), arrival);
     }
     for now in (10..400).step_by(2) {
-        for act in notes.take() {
-            if let Act::Add(name, _) = act {
+        for action in host.take() {
+            if let Action::AddToCounter(key, _) = action {
                 calls += 1;
-                gateway.counter_replied(at(now), name, None, Outcome::Full);
+                gateway.counter_replied(at(now), key, None, Outcome::Full);
             }
         }
         gateway.timer_fired(at(now), u64::MAX);
@@ -241,114 +249,114 @@
     assert!((2..=12).contains(&calls), "{calls}");
 }
 
-/// Sixty gateways each sent a server that had just started their first job at once, and it fell over.
+/// Sixty gateways sent their first jobs to a newly started server at the same time, and it failed.
 #[test]
 fn many_gateways_do_not_send_a_cold_server_their_first_jobs_at_once() {
     let mut sent = 0;
     for own_index in 0..60 {
         let mut deployment = Deployment { gateway_count: 60, own_index, ..deployment() };
         deployment.plans[0] = Plan::default();
-        let (mut gateway, notes) = gateway(deployment, 2);
+        let (mut gateway, host) = gateway(deployment, 2);
         for job in 0..40 {
             let now = job * 500;
             if job == 38 {
                 gateway.roster_changed(at(now), [entry(0, Health::Ready, Some(at(now)))].into_iter());
             }
             gateway.job_arrived(at(now), Arrival { customer: job, ..arrival(job, 0, 0, 1.0, at(now + 490)) });
-            for act in notes.take() {
-                if let Act::Relay(id, server, _) = act {
+            for action in host.take() {
+                if let Action::Relay(id, server, _) = action {
                     sent += usize::from(job >= 38 && server == 0);
                     gateway.relay_ended(at(now + 20), end(id, server, Outcome::Succeeded, 20));
                 }
             }
         }
     }
-    // Sixty seconds' worth of two jobs a second were there to send; a cold server takes a third of one warm.
+    // Two jobs per second for a minute were available; a cold server takes a third of what a warm one does.
     assert!((1..=30).contains(&sent), "{sent}");
 }
 
-/// Tries of impatient clients were sent though they would be given up before an answer.
+/// Jobs of impatient clients were sent although their clients would give up before an answer.
 #[test]
-fn a_job_without_time_for_an_answer_is_dismissed_at_once() {
-    let (mut gateway, notes) = gateway(deployment(), 4);
+fn a_job_without_time_for_an_answer_is_rejected_at_once() {
+    let (mut gateway, host) = gateway(deployment(), 4);
     gateway.job_arrived(at(10), arrival(1, 0, 0, 1.0, at(100)));
-    assert_eq!(notes.take(), vec![Act::Dismiss(1)]);
+    assert_eq!(host.take(), vec![Action::Reject(1)]);
 }
 
-/// A gateway that took no part in the last window had half of the burst again, however much had been used.
+/// A gateway without calls in the last window granted half of the burst again, however much had been used.
 #[test]
-fn what_the_last_window_left_is_told_on_the_count() {
-    let (mut first, notes) = gateway(deployment(), 4);
+fn the_burst_deficit_of_the_last_window_is_added_to_the_total() {
+    let (mut first, host) = gateway(deployment(), 4);
     first.job_arrived(at(10), arrival(1, 0, 0, 6.5, at(2_000)));
-    let (name, amount) = count_of(&notes.take()).expect("an ask");
-    first.counter_replied(at(12), name, Some(amount), Outcome::Succeeded);
-    let (last, _) = count_of(&notes.take()).expect("a look at the last window");
+    let (key, amount) = counter_add(&host.take()).expect("a counter call");
+    first.counter_replied(at(12), key, Some(amount), Outcome::Succeeded);
+    let (last, _) = counter_add(&host.take()).expect("a read of the last window's total");
     first.counter_replied(at(14), last, Some(12.0), Outcome::Succeeded);
-    let (told, lacked) = count_of(&notes.take()).expect("word of what the burst lacks");
-    assert!(told == name && last != name && lacked > 1_000.0);
-    let (mut second, notes) = gateway(deployment(), 4);
+    let (deficit_key, deficit) = counter_add(&host.take()).expect("an add of the burst deficit");
+    assert!(deficit_key == key && last != key && deficit > 1_000.0);
+    let (mut second, host) = gateway(deployment(), 4);
     second.job_arrived(at(20), arrival(2, 0, 0, 1.0, at(420)));
-    assert!(count_of(&notes.take()).is_some());
-    second.counter_replied(at(22), name, Some(amount + lacked + 1.0), Outcome::Succeeded);
-    assert_eq!(relayed(&notes.take()), None);
+    assert!(counter_add(&host.take()).is_some());
+    second.counter_replied(at(22), key, Some(amount + deficit + 1.0), Outcome::Succeeded);
+    assert_eq!(relay_server(&host.take()), None);
 }
 
-/// A fleet cut down to a few servers got as many relays as the whole one.
+/// A fleet reduced to a few servers got as many relays as the whole one.
 #[test]
 fn a_fleet_that_shrinks_gets_less() {
     let mut deployment = Deployment { gateway_count: 20, ..deployment() };
     deployment.plans[0] = Plan::default();
-    let (mut gateway, notes) = gateway(deployment, 20);
+    let (mut gateway, host) = gateway(deployment, 20);
     let mut out = [0, 0];
     for (round, ready) in [(0, 20), (1, 2)] {
         gateway.roster_replaced(at(10), (0..ready).map(|id| entry(id, Health::Ready, None)));
         (0..50).for_each(|job| gateway.job_arrived(at(10), arrival(100 * round + job, 0, 0, 1.0, at(2_000))));
-        let relays = notes.take().into_iter().filter(|act| matches!(act, Act::Relay(..))).count();
+        let relays = host.take().into_iter().filter(|action| matches!(action, Action::Relay(..))).count();
         out[round as usize] = relays;
     }
     assert!(out[0] == 6 && out[1] == 0, "{out:?}");
 }
 
-/// A job that had failed and might not run again was held for a server until its time ran short.
+/// A failed job that must not run again was held for a server until its deadline.
 #[test]
 fn a_job_that_no_server_may_have_again_is_answered_at_once() {
-    for (band, outcome, servers, answer) in [
-        (3, Outcome::Error, 3, Act::Forfeit(1)),
-        (2, Outcome::Reset, 2, Act::Forfeit(1)),
-        (3, Outcome::Full, 1, Act::Dismiss(1)),
-        (0, Outcome::Error, 1, Act::Dismiss(1)),
+    for (class, outcome, servers, answer) in [
+        (3, Outcome::Error, 3, Action::Fail(1)),
+        (2, Outcome::Reset, 2, Action::Fail(1)),
+        (3, Outcome::Full, 1, Action::Reject(1)),
+        (0, Outcome::Error, 1, Action::Reject(1)),
     ] {
         let mut deployment = deployment();
         deployment.plans[0] = Plan::default();
-        let (mut gateway, notes) = gateway(deployment, servers);
-        gateway.job_arrived(at(0), arrival(1, band, 0, 1.0, at(2_000)));
-        let server = relayed(&notes.take()).expect("a relay");
+        let (mut gateway, host) = gateway(deployment, servers);
+        gateway.job_arrived(at(0), arrival(1, class, 0, 1.0, at(2_000)));
+        let server = relay_server(&host.take()).expect("a relay");
         gateway.relay_ended(at(5), end(1, server, outcome, 5));
-        assert_eq!(notes.take(), [answer]);
+        assert_eq!(host.take(), [answer]);
     }
 }
 
-/// After an outage of seconds a gateway called the counter once in a second, for minutes.
+/// After an outage of seconds, a gateway called the counter only once per second for minutes.
 #[test]
-fn calls_come_back_soon_after_an_outage_of_the_counter() {
-    let (mut gateway, notes) = gateway(deployment(), 2);
+fn calls_recover_soon_after_an_outage_of_the_counter() {
+    let (mut gateway, host) = gateway(deployment(), 2);
     let (mut calls, mut out) = ([0; 3], Vec::new());
     for job in 0..6_000 {
-        // One job a millisecond, each of its own customer; calls are not answered in the second third.
+        // One job per millisecond, each of another customer; calls are not answered in the second third.
         let (now, third) = (at(job), job as usize / 2_000);
-        for (name, amount) in std::mem::take(&mut out) {
+        for (key, amount) in std::mem::take(&mut out) {
             let (total, outcome) =
                 if third == 1 { (None, Outcome::TimedOut) } else { (Some(amount), Outcome::Succeeded) };
-            gateway.counter_replied(now, name, total, outcome);
+            gateway.counter_replied(now, key, total, outcome);
             calls[third] += 1;
         }
         let arrival = Arrival { customer: 1_000 + job, ..arrival(job, 0, 0, 1.0, at(job + 400)) };
         gateway.job_arrived(now, arrival);
         gateway.timer_fired(now, u64::MAX);
-        let added = notes.take().into_iter();
-        out.extend(added.filter_map(|act| {
-            if let Act::Add(name, amount) = act {
-                Some((name, amount))
+        let added = host.take().into_iter();
+        out.extend(added.filter_map(|action| {
+            if let Action::AddToCounter(key, amount) = action {
+                Some((key, amount))
             } else {
                 None
             }
@@ -358,14 +366,14 @@
     assert!(calls[2] > calls[0] / 2, "{calls:?}");
 }
 
-/// A customer let go among many others must not find its share of the ceiling full again.
+/// A customer whose state is dropped among many others must not get a full share of its ceiling again.
 #[test]
-fn customers_come_and_go_without_number_and_ceilings_hold() {
+fn ceilings_hold_while_many_customers_come_and_go() {
     let mut deployment = deployment();
     deployment.has_counter = false;
-    let (mut gateway, notes) = gateway(deployment, 2);
+    let (mut gateway, host) = gateway(deployment, 2);
     let mut units = 0.0;
-    // Half of the ceiling is this gateway's: 1.5 units a second, and 6.5 at once.
+    // Half of the ceiling is this gateway's: 1.5 units per second, and 6.5 at once.
     for job in 0..40_000 {
         let now = at(10_000 + job * 5);
         let (customer, plan) = if job % 20 == 0 { (7, 2) } else { (1_000 + job, 0) };
@@ -373,7 +381,7 @@
             now,
             Arrival { customer, ..arrival(job, 0, plan, 1.0, now + Span::from_millis(300)) },
         );
-        let server = relayed(&notes.take());
+        let server = relay_server(&host.take());
         if let Some(server) = server {
             units += if job % 20 == 0 { 1.0 } else { 0.0 };
             gateway.relay_ended(now, end(job, server, Outcome::Succeeded, 1));
@@ -384,28 +392,28 @@
     assert!(units > 100.0 && units <= 1.5 * 210.0 + 6.5, "{units}");
 }
 
-/// A call lost, for any cause, was made again for the same job, which stalled a time-out each time.
+/// A lost counter call was repeated for the same job, which waited for one time-out after another.
 #[test]
-fn a_job_whose_call_is_lost_goes_by_the_gateways_own_part() {
-    let (mut gateway, notes) = gateway(deployment(), 2);
+fn a_job_whose_call_is_lost_is_granted_locally() {
+    let (mut gateway, host) = gateway(deployment(), 2);
     gateway.job_arrived(at(10), arrival(1, 0, 0, 1.0, at(2_000)));
-    let (name, _) = count_of(&notes.take()).expect("an ask");
-    gateway.counter_replied(at(40), name, None, Outcome::TimedOut);
-    assert!(relayed(&notes.take()).is_some());
+    let (key, _) = counter_add(&host.take()).expect("a counter call");
+    gateway.counter_replied(at(40), key, None, Outcome::TimedOut);
+    assert!(relay_server(&host.take()).is_some());
 }
 
-/// A release replaced all servers within the time that one is cold: none was warm, and none got a job.
+/// A release replaced all servers within the time that one is cold: none was warm, so none got a job.
 #[test]
 fn cold_servers_are_used_when_none_is_warm() {
     let mut deployment = deployment();
     deployment.plans[0] = Plan::default();
-    let (mut gateway, notes) = gateway(deployment, 2);
-    let relays = |gateway: &mut Gateway<Notes>, jobs: std::ops::Range<u64>, from: u64| -> usize {
+    let (mut gateway, host) = gateway(deployment, 2);
+    let relays = |gateway: &mut Gateway<RecordingHost>, jobs: std::ops::Range<u64>, from: u64| -> usize {
         let sent = jobs.filter(|job| {
             let now = from + job * 20;
             let customer = 100 + job;
             gateway.job_arrived(at(now), Arrival { customer, ..arrival(*job, 0, 0, 1.0, at(now + 2_000)) });
-            let server = relayed(&notes.take());
+            let server = relay_server(&host.take());
             if let Some(server) = server {
                 gateway.relay_ended(at(now + 10), end(*job, server, Outcome::Succeeded, 10));
             }
@@ -416,39 +424,44 @@
     assert_eq!(relays(&mut gateway, 0..200, 0), 200);
     let fresh = (2..4).map(|id| entry(id, Health::Ready, Some(at(4_000))));
     gateway.roster_replaced(at(4_000), fresh);
-    // As much as their part of what warm ones carried; nothing before.
+    // They get a share of what the warm ones carried; before the fix they got nothing.
     let sent = relays(&mut gateway, 200..400, 2_000);
     assert!((20..150).contains(&sent), "{sent}");
 }
 
-/// Units judged alone while the counter turned calls away, more than a window gives, were carried from window to window:
-/// each job was turned away because of them, and without a job no call told the count of them. The customer got nothing
-/// more at that gateway for as long as it lived.
+/// Units granted locally while the counter refused calls, more than a window refills, were carried from window to window.
+/// They caused every job to be rejected, and without jobs no call reported them: the customer was locked out at that
+/// gateway for good.
 #[test]
-fn units_that_no_count_was_told_of_do_not_shut_a_customer_out_for_good() {
-    let (mut gateway, notes) = gateway(deployment(), 2);
-    let mut asked_after = 0;
+fn unreported_units_do_not_lock_out_a_customer_for_good() {
+    let (mut gateway, host) = gateway(deployment(), 2);
+    let mut calls_after_recovery = 0;
     for job in 0..400 {
         let now = at(job * 100);
         gateway.job_arrived(now, arrival(job, 0, 0, 1.0, now + Span::from_millis(1_000)));
-        // Answers to calls, and ends of relays, come at once; the calls of the first ten seconds are turned away.
+        // Calls and relays are answered at once; the calls of the first ten seconds are refused.
         loop {
-            let acts = notes.take();
-            let name =
-                acts.iter().find_map(|act| if let Act::Add(name, _) = act { Some(*name) } else { None });
-            if let Some(server) = relayed(&acts) {
+            let actions = host.take();
+            let key = actions.iter().find_map(|action| {
+                if let Action::AddToCounter(key, _) = action {
+                    Some(*key)
+                } else {
+                    None
+                }
+            });
+            if let Some(server) = relay_server(&actions) {
                 gateway.relay_ended(now, end(job, server, Outcome::Succeeded, 1));
             }
-            let Some(name) = name else { break };
-            asked_after += u32::from(job > 300);
+            let Some(key) = key else { break };
+            calls_after_recovery += u32::from(job > 300);
             let total = (job >= 100).then_some(1.0);
             gateway.counter_replied(
                 now,
-                name,
+                key,
                 total,
                 if total.is_some() { Outcome::Succeeded } else { Outcome::Full },
             );
         }
     }
-    assert!(asked_after > 20, "{asked_after}");
+    assert!(calls_after_recovery > 20, "{calls_after_recovery}");
 }
