--- a/src/choice.rs
+++ b/src/choice.rs
@@ -33,7 +33,7 @@
 const THROUGHPUT_MEAN_S: f64 = 3.0;
 
 /// Returns the pause after a call of length `took` that keeps `limit` calls in progress on average, if below 1.
-fn rest(took: Span, limit: f64) -> Span {
+fn pause(took: Span, limit: f64) -> Span {
     took.times((1.0 / limit - 1.0).max(0.0))
 }
 
@@ -175,8 +175,8 @@
     pub fn job_arrived(&mut self, now: Moment, arrival: Arrival) {
         self.now = now;
         let (id, set_size) = (arrival.job, f64::from(arrival.gateway_set_size.max(1)));
-        let (bands, plans) = (&self.deployment.classes, &self.deployment.plans);
-        let (Some(class), Some(plan)) = (bands.get(arrival.class), plans.get(arrival.plan)) else {
+        let (classes, plans) = (&self.deployment.classes, &self.deployment.plans);
+        let (Some(class), Some(plan)) = (classes.get(arrival.class), plans.get(arrival.plan)) else {
             return self.host.fail(id);
         };
         let (target, has_quota, cost) = (now + class.latency_target, plan.has_quota(), plan.cost(&arrival));
@@ -311,13 +311,13 @@
         }
         if !std::mem::replace(&mut customer.queued, true) {
             self.counter.queue.insert((benefit.unwrap_or(0), self.now, id));
-            self.host.set_timer(self.counter.rest_until.since(self.now), CALLS_TIMER);
+            self.host.set_timer(self.counter.pause_until.since(self.now), CALLS_TIMER);
         }
         self.grant_locally(id, true);
     }
 
     fn can_call(&self) -> bool {
-        self.counter.active < self.counter.limit.max(1.0) && self.now >= self.counter.rest_until
+        self.counter.active < self.counter.limit.max(1.0) && self.now >= self.counter.pause_until
     }
 
     /// Adds to a total, by the peer count if `to_peers` is given: the part of the amount that it may refuse.
@@ -331,8 +331,8 @@
         let counter = &mut self.counter;
         counter.active += 1.0;
         // Even one call at a time per gateway may be too many, so each gateway pauses between calls.
-        counter.rest_until =
-            self.now.max(counter.rest_until) + rest(Span::from_secs(counter.call_s), counter.limit);
+        counter.pause_until =
+            self.now.max(counter.pause_until) + pause(Span::from_secs(counter.call_s), counter.limit);
         self.host.add_to_counter(key, amount, COUNT_TTL);
     }
 
@@ -392,7 +392,7 @@
             self.request_units(next);
         }
         if !self.counter.queue.is_empty() && self.counter.active < self.counter.limit.max(1.0) {
-            self.host.set_timer(self.counter.rest_until.since(self.now), CALLS_TIMER);
+            self.host.set_timer(self.counter.pause_until.since(self.now), CALLS_TIMER);
         }
     }
 
@@ -431,16 +431,16 @@
                 }
                 self.lend(unused);
             }
-            (Step::ReadLastWindow(counted), total) => {
+            (Step::ReadLastWindow(window_total), total) => {
                 // Without a marker, the use in the last window stands in for the windows before it.
                 let last = total.unwrap_or(0.0);
                 let deficit = if last >= marker { last - marker - plan.units_per_window() } else { last };
                 let deficit = marker + deficit.clamp(0.0, plan.burst.max(0.0));
-                call.step = Step::AddDeficit(counted + deficit);
+                call.step = Step::AddDeficit(window_total + deficit);
                 customer.call = Some(call);
                 self.send_call(id, window, deficit, to_peers.then_some(0.0));
             }
-            (Step::AddDeficit(counted), _) => self.decide(id, call, counted),
+            (Step::AddDeficit(window_total), _) => self.decide(id, call, window_total),
         }
     }
 
@@ -507,11 +507,11 @@
 
     fn pool_draw_replied(&mut self, total: Option<f64>) {
         let Some((_, units, jobs)) = self.pool.pending_draw.take() else { return };
-        let mut room = total.map_or(0.0, |total| units + total.min(0.0));
+        let mut available = total.map_or(0.0, |total| units + total.min(0.0));
         for id in jobs {
             let Some(job) = self.jobs.get(&id).filter(|job| job.stage == Stage::Drawing) else { continue };
-            if job.cost <= room {
-                room -= job.cost;
+            if job.cost <= available {
+                available -= job.cost;
                 self.admit(id);
             } else {
                 self.give_up(id, None);
@@ -519,8 +519,7 @@
         }
     }
 
-    /// Lends half of the units that a customer left unused in the last window to the next pool. About sixteen gateways
-    /// lend per pool window; in a large deployment these calls alone would crowd the counter otherwise.
+    /// Lends half the last window's unused units to the next pool; 16 gateways lend per pool window, to spare the counter.
     fn lend(&mut self, unused: f64) {
         // Lent units must not add load while servers are saturated.
         if self.now < self.fleet.saturated_until || !self.deployment.plans.iter().any(Plan::free_overage) {
@@ -537,7 +536,8 @@
     /// Grants held jobs without a total, within this gateway's share of the quota. Where that is far below a job, one is
     /// granted once the excess of earlier ones is refilled, unless servers are saturated. With a counter, which is told
     /// later, all jobs with free overage go: they cost nothing, and the ceiling's share bounds them. While the call is
-    /// queued (`rationed`), a job above the share must cost less as overage than it earns: it fits at even odds at best.
+    /// queued (`rationed`), a job above the share must cost less as overage than it earns: its odds of being within the
+    /// quota are even at best, and most jobs that wait are of customers over their quota.
     fn grant_locally(&mut self, id: CustomerId, rationed: bool) {
         let sharers = self.sharers(id);
         let Some(customer) = self.customers.get(&id) else { return };
@@ -578,7 +578,7 @@
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.awaits_grant()) else { return };
         job.stage = Stage::Admitted;
         let customer = self.customers.entry(job.arrival.customer);
-        customer.and_modify(|customer| customer.held_jobs.retain(|waiting| *waiting != id));
+        customer.and_modify(|customer| customer.held_jobs.retain(|held| *held != id));
         self.dispatch(id);
     }
 
@@ -627,7 +627,8 @@
         }
     }
 
-    /// Chooses the first server with capacity. The ranking differs by customer and gateway, to spread heavy customers.
+    /// Chooses the first server with capacity in a ranking that differs by customer and gateway: with one ranking, a heavy
+    /// customer would lead all gateways to the same server, and none of them would notice.
     fn choose_server(&mut self, id: JobId) -> Option<ServerId> {
         if f64::from(self.deployment.gateway_count) > START_LIMIT {
             return self.choose_from_subset(id);
@@ -642,11 +643,12 @@
         ranking.order.iter().copied().find(|server| self.has_capacity(*server, job))
     }
 
-    /// Chooses from this gateway's subset: of the next two in turn the less loaded one, else a fallback server. As many
-    /// gateways see few answers of each server and all might send to it at once, the sum of relays is limited as well.
+    /// Chooses from this gateway's subset in turn, so that the fleet loads servers alike; the less loaded of the next two,
+    /// to avoid slow ones; or a fallback server while the subset has no usable one. Many gateways see few answers of each
+    /// server and could all send to it at once, so the sum of their relays is limited as well.
     fn choose_from_subset(&mut self, id: JobId) -> Option<ServerId> {
         let full = self.fleet.active >= (self.fleet.limit * self.fleet.ready).max(1.0);
-        if full || (self.now < self.fleet.rest_until && self.fleet.slowness > 1.25 * self.fleet.baseline) {
+        if full || (self.now < self.fleet.pause_until && self.fleet.slowness > 1.25 * self.fleet.baseline) {
             return None;
         }
         let (roster, before) = self.fleet.subset_basis;
@@ -659,11 +661,12 @@
             self.fleet.subset_basis = (self.fleet.version, size);
         }
         let job = self.jobs.get(&id)?;
-        let room = |server: &ServerId| self.has_capacity(*server, job);
+        let has_capacity = |server: &ServerId| self.has_capacity(*server, job);
         let active = |server: ServerId| self.servers.get(&server).map_or(0.0, |to| to.active);
-        let next_two: Vec<ServerId> = self.fleet.subset.in_turn_order().filter(room).take(2).collect();
+        let next_two: Vec<ServerId> =
+            self.fleet.subset.in_turn_order().filter(has_capacity).take(2).collect();
         let chosen = next_two.iter().copied().min_by(|a, b| active(*a).total_cmp(&active(*b)));
-        let chosen = chosen.or_else(|| self.fleet.subset.fallback().find(room))?;
+        let chosen = chosen.or_else(|| self.fleet.subset.fallback().find(has_capacity))?;
         self.fleet.subset.record_relay(chosen);
         Some(chosen)
     }
@@ -695,17 +698,15 @@
 
     fn has_capacity(&self, id: ServerId, job: &Job) -> bool {
         const TRIAL_PAUSE: Span = Span::from_millis(500); // several usual answer times
-        let Some(server) = self.servers.get(&id).filter(|server| self.may_send(job, server)) else {
-            return false;
-        };
+        let Some(server) = self.servers.get(&id).filter(|to| self.may_send(job, to)) else { return false };
         let is_full = if server.is_suspect(self.now, self.fleet.answer_s) {
             // One trial at a time: rarer the more it failed, and a quarter as often with jobs that must not repeat.
             let factor = if self.deployment.classes[job.arrival.class].repeat.is_safe() { 1.0 } else { 4.0 };
-            let pause = TRIAL_PAUSE.times(factor / (1.0 - server.failure_share).max(0.05));
-            server.active > 0.0 || self.now.since(server.last_relay) < pause
+            let trial_pause = TRIAL_PAUSE.times(factor / (1.0 - server.failure_share).max(0.05));
+            server.active > 0.0 || self.now.since(server.last_relay) < trial_pause
         } else {
             server.active >= server.limit.max(1.0)
-                || (self.now < server.rest_until && self.fleet.slowness > 1.25 * self.fleet.baseline)
+                || (self.now < server.pause_until && self.fleet.slowness > 1.25 * self.fleet.baseline)
         };
         !is_full
             && self.cold_limit(server).is_none_or(|(rate, load)| {
@@ -718,13 +719,12 @@
     /// load it still has to work off; `None` if warm. Half is held back for slower machines and uneven work.
     fn cold_limit(&self, server: &Server) -> Option<(f64, f64)> {
         const SAFETY: f64 = 0.5;
-        let (now, cold, start) =
-            (self.now, self.deployment.cold_start, self.deployment.cold_start.initial_share);
-        let age = Some(now.since(server.entry.started?)).filter(|age| *age <= cold.warm_after)?;
+        let (cold, start) = (self.deployment.cold_start, self.deployment.cold_start.initial_share);
+        let age = Some(self.now.since(server.entry.started?)).filter(|age| *age <= cold.warm_after)?;
         let warmth = start + (1.0 - start) * age.secs() / cold.warm_after.secs().max(0.001);
         let multiple = SAFETY * cold.overload_multiple * warmth;
         let rate = multiple * self.warm_throughput().unwrap_or(self.fleet.throughput) * server.entry.rating;
-        Some((rate, server.cold_load.drained(rate, now)))
+        Some((rate, server.cold_load.drained(rate, self.now)))
     }
 
     /// Returns the units per second, per unit of rating, that warm servers carry; `None` if none is warm.
@@ -823,8 +823,8 @@
         // Refusals are fast; pauses of only their length would let many gateways retry at the same time.
         let shortest = if end.outcome == Outcome::Succeeded { 0.0 } else { fleet.answer_s };
         let busy = end.duration.max(Span::from_secs(shortest));
-        (server.rest_until, fleet.rest_until) =
-            (now + rest(busy, server.limit), now + rest(busy, fleet.limit * fleet.ready.max(1.0)));
+        (server.pause_until, fleet.pause_until) =
+            (now + pause(busy, server.limit), now + pause(busy, fleet.limit * fleet.ready.max(1.0)));
     }
 
     /// Order of the backlog, last first: highest benefit, then newest, as the oldest jobs would be late.
@@ -853,7 +853,7 @@
         let Some(job) = self.jobs.remove(&id) else { return };
         let rank = self.rank(&job);
         let Some(customer) = self.customers.get_mut(&job.arrival.customer) else { return };
-        customer.held_jobs.retain(|waiting| *waiting != id);
+        customer.held_jobs.retain(|held| *held != id);
         self.fleet.backlog.remove(&rank);
         // Units that were granted but not used, or the slot of a relay that has ended, go back to the total.
         let plan = &self.deployment.plans[customer.plan];
--- a/src/host.rs
+++ b/src/host.rs
@@ -16,8 +16,8 @@
 
 /// The actions that a gateway can take; the embedding program carries them out.
 pub trait Host {
-    /// Sends a job to a server (a relay) and ends the relay as timed out after `patience`.
-    fn relay(&mut self, job: JobId, server: ServerId, patience: Span);
+    /// Sends a job to a server (a relay) and ends the relay as timed out after `timeout`.
+    fn relay(&mut self, job: JobId, server: ServerId, timeout: Span);
     /// Stops waiting for one relay of a job; a job's relays are numbered from 0.
     fn cancel_relay(&mut self, job: JobId, relay: u8);
     /// Gives the final answer that a job was not done and may safely be retried, after `retry_after` if given.
--- a/src/state.rs
+++ b/src/state.rs
@@ -55,7 +55,7 @@
     /// When the limit was last lowered.
     pub(crate) last_cut: Moment,
     /// End of the pause that spaces relays while the limit is below 1.
-    pub(crate) rest_until: Moment,
+    pub(crate) pause_until: Moment,
     /// Latest success, or the start of the first relay in progress if that is later.
     pub(crate) last_alive: Moment,
     /// Mean time between successes in seconds.
@@ -111,7 +111,7 @@
     /// Limit of relays in progress per ready server, for when the limit of each one is below 1.
     pub(crate) limit: f64,
     /// End of the pause that spaces relays while the total limit is below 1.
-    pub(crate) rest_until: Moment,
+    pub(crate) pause_until: Moment,
     /// Units per second, per unit of rating, that warm servers carried when there last were some.
     pub(crate) throughput: f64,
     /// Retries that may still be sent; earned by first relays.
@@ -233,7 +233,7 @@
     /// Whether the latest call was answered.
     pub(crate) last_answered: bool,
     /// End of the pause that spaces calls.
-    pub(crate) rest_until: Moment,
+    pub(crate) pause_until: Moment,
     /// Until then peer counts are used, if available, as calls had to wait recently.
     pub(crate) use_peers_until: Moment,
     /// Customers that wait for a call, by benefit and time.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,8 +39,8 @@
 }
 
 impl Host for RecordingHost {
-    fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
-        self.record(Action::Relay(job, server, patience));
+    fn relay(&mut self, job: JobId, server: ServerId, timeout: Span) {
+        self.record(Action::Relay(job, server, timeout));
     }
     fn cancel_relay(&mut self, job: JobId, relay: u8) {
         self.record(Action::CancelRelay(job, relay));
@@ -51,17 +51,17 @@
     fn fail(&mut self, job: JobId) {
         self.record(Action::Fail(job));
     }
-    fn set_timer(&mut self, after: Span, mark: u64) {
-        self.record(Action::SetTimer(after, mark));
+    fn set_timer(&mut self, after: Span, timer_id: u64) {
+        self.record(Action::SetTimer(after, timer_id));
     }
-    fn add_to_counter(&mut self, name: CounterKey, amount: f64, _: Span) {
-        self.record(Action::AddToCounter(name, amount));
+    fn add_to_counter(&mut self, key: CounterKey, amount: f64, _: Span) {
+        self.record(Action::AddToCounter(key, amount));
     }
     fn peers_can_count(&mut self) -> bool {
         self.peers_can_count.get()
     }
-    fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
-        self.record(Action::AddToPeerCount(name, amount, wanted));
+    fn add_to_peer_count(&mut self, key: CounterKey, amount: f64, conditional: ConditionalAdd) {
+        self.record(Action::AddToPeerCount(key, amount, conditional));
     }
     fn quota_sharers(&mut self, _: u32, set_size: f64) -> f64 {
         self.sharers.get().unwrap_or(set_size)
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -20,7 +20,7 @@
 
 /// 300 gateways; plans without free overage, whose overage costs less and more than the price, and one with free
 /// overage whose ceiling is four times its quota.
-fn many() -> Deployment {
+fn deployment_of_300() -> Deployment {
     let mut deployment = Deployment { gateway_count: 300, ..deployment() };
     let ceiling = Ceiling { rate: 40.0, burst: 40.0, slack: 4.0 };
     let limited = Plan { rate: 10.0, burst: 10.0, price: 1.2, overage_cost: 0.5, ..Plan::default() };
@@ -42,7 +42,7 @@
 /// this gateway's share of the ceiling; jobs of other plans are limited to its share of the quota.
 #[test]
 fn jobs_with_free_overage_do_not_wait_for_queued_calls() {
-    let (mut gateway, host) = gateway(many(), 400);
+    let (mut gateway, host) = gateway(deployment_of_300(), 400);
     let job = |id, customer, plan| Arrival {
         customer,
         gateway_set_size: 8,
@@ -68,7 +68,7 @@
 /// Rule 5 holds for jobs granted as free overage: this gateway's share of the ceiling bounds them.
 #[test]
 fn jobs_with_free_overage_keep_within_the_share_of_the_ceiling() {
-    let (mut gateway, host) = gateway(many(), 400);
+    let (mut gateway, host) = gateway(deployment_of_300(), 400);
     gateway.job_arrived(at(2_010), Arrival { customer: 1, ..arrival(1, 0, 0, 1.0, at(3_000)) });
     host.take();
     let mut sent = 0;
@@ -83,7 +83,7 @@
 
 /// Sends a job of a plan without quota every `interval` milliseconds; `end_of` says how, and after how many
 /// milliseconds, a server ends its relay. Returns the servers of all relays in their order.
-fn sent(
+fn send_jobs(
     (gateway, host): &mut (Gateway<RecordingHost>, RecordingHost),
     from: u64,
     jobs: u64,
@@ -109,20 +109,20 @@
 
 /// The same deployment with a first plan without quota.
 fn unlimited() -> Deployment {
-    let mut deployment = many();
+    let mut deployment = deployment_of_300();
     deployment.plans[0] = Plan::default();
     deployment
 }
 
 /// Each of 300 gateways ranked all servers for every customer, so that its relays went to the whole fleet and most of
-/// them opened a connection: 36,874 connections for about 57,000 relays in the scenario calm+mass. One subset for all customers
-/// limits a gateway to few servers, and all subsets together load every server alike.
+/// them opened a connection: 36,874 connections for about 57,000 relays in the scenario calm+mass. One subset for all
+/// customers limits a gateway to few servers, and all subsets together load every server alike.
 #[test]
 fn many_gateways_keep_to_few_servers_and_all_load_them_alike() {
     let mut loads = [0; 60];
     for own_index in 0..300 {
         let deployment = Deployment { own_index, ..unlimited() };
-        let servers = sent(&mut gateway(deployment, 60), 0, 60, 200, |_| (Outcome::Succeeded, 20));
+        let servers = send_jobs(&mut gateway(deployment, 60), 0, 60, 200, |_| (Outcome::Succeeded, 20));
         let used: BTreeSet<&ServerId> = servers.iter().collect();
         assert!(used.len() <= 4, "{used:?}");
         servers.iter().for_each(|server| loads[*server as usize] += 1);
@@ -132,36 +132,36 @@
 }
 
 /// When a third of the servers stopped answering, gateways with subsets of six servers detected each one by losing own
-/// jobs (score 0.16 in the scenario zone+vast; 0.25 with subsets of two). A subset without a usable server must use its fallback
-/// at once, and return to its own servers when they recover.
+/// jobs (score 0.16 in the scenario zone+vast; 0.25 with subsets of two). A subset without a usable server must use its
+/// fallback at once, and return to its own servers when they recover.
 #[test]
 fn a_subset_without_usable_servers_uses_its_fallback_and_returns() {
-    let mut sent_jobs = gateway(unlimited(), 60);
+    let mut simulated = gateway(unlimited(), 60);
     let subset: BTreeSet<ServerId> =
-        sent(&mut sent_jobs, 0, 20, 200, |_| (Outcome::Succeeded, 20)).into_iter().collect();
-    let bad = |server: ServerId| {
+        send_jobs(&mut simulated, 0, 20, 200, |_| (Outcome::Succeeded, 20)).into_iter().collect();
+    let end_of = |server: ServerId| {
         if subset.contains(&server) {
             (Outcome::ConnectFailed, 5)
         } else {
             (Outcome::Succeeded, 20)
         }
     };
-    sent(&mut sent_jobs, 20, 20, 200, bad);
-    let during_failure = sent(&mut sent_jobs, 40, 40, 200, bad);
+    send_jobs(&mut simulated, 20, 20, 200, end_of);
+    let during_failure = send_jobs(&mut simulated, 40, 40, 200, end_of);
     let on_fallback = during_failure.iter().filter(|server| !subset.contains(server)).count();
     assert!(
         on_fallback >= 38 && during_failure.iter().collect::<BTreeSet<_>>().len() <= subset.len() + 4,
         "{during_failure:?}"
     );
     // After recovery they are found by single trials, and the fallback servers are no longer used.
-    sent(&mut sent_jobs, 80, 60, 200, |_| (Outcome::Succeeded, 20));
-    let after_recovery = sent(&mut sent_jobs, 140, 20, 200, |_| (Outcome::Succeeded, 20));
+    send_jobs(&mut simulated, 80, 60, 200, |_| (Outcome::Succeeded, 20));
+    let after_recovery = send_jobs(&mut simulated, 140, 20, 200, |_| (Outcome::Succeeded, 20));
     assert!(after_recovery.iter().all(|server| subset.contains(server)), "{after_recovery:?} {subset:?}");
 }
 
-/// With 300 gateways each one paused for the time of 24 answers after every relay, however fast the answers were: jobs
-/// waited for idle servers (score 0.25 in the scenario calm+mass; 0.33 without the pauses). Pauses are needed only while answers
-/// are slower than usual, as when servers are loaded from all sides.
+/// With 300 gateways, each one paused its use of a server, and all its relays, for the time of 24 answers after every
+/// relay, however fast the answers were: jobs waited for idle servers (score 0.25 in the scenario calm+mass; 0.33 without
+/// the pauses). Pauses are needed only while answers are slower than usual, as when servers are loaded from all sides.
 #[test]
 fn relays_pause_only_while_answers_are_slow() {
     let relayed = |took: u64| {
@@ -187,7 +187,7 @@
 /// over their quota, which cost 0.097 of the score. Such a job must wait for its call until the total permits it.
 #[test]
 fn a_job_with_costly_overage_waits_for_its_queued_call() {
-    let (mut gateway, host) = gateway(many(), 400);
+    let (mut gateway, host) = gateway(deployment_of_300(), 400);
     let job = |id, customer, plan| Arrival {
         customer,
         gateway_set_size: 150,
@@ -199,7 +199,7 @@
             .find_map(|action| if let Action::AddToCounter(key, _) = action { Some(key) } else { None })
     };
     gateway.job_arrived(at(2_010), job(1, 1, 0));
-    let first = added(host.take()).expect("a call");
+    let first = added(host.take()).expect("a counter call");
     gateway.job_arrived(at(2_011), job(20, 3, 1));
     let actions = host.take();
     assert!(relays(&actions).is_empty() && !actions.contains(&Action::Reject(20)), "{actions:?}");
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Regression tests: one for each fault that was found in simulations.
+//! Regression tests: one for each fault that was found.
 
 mod common;
 
@@ -96,8 +96,8 @@
         }
     }
     let plan = &deployment().plans[0];
-    let pace = plan.rate * 20.0;
-    assert!(f64::from(sent) > pace && f64::from(sent) <= pace + plan.burst + 8.0, "{sent}");
+    let refilled = plan.rate * 20.0;
+    assert!(f64::from(sent) > refilled && f64::from(sent) <= refilled + plan.burst + 8.0, "{sent}");
 }
 
 /// Relays that hung until their abandon time occupied capacity at servers that answered all other jobs.
@@ -271,7 +271,7 @@
             }
         }
     }
-    // Two jobs per second for a minute were available; a cold server takes a third of what a warm one does.
+    // Each of 60 gateways had two jobs to send within a second; a cold server takes a third of what a warm one does.
     assert!((1..=30).contains(&sent), "{sent}");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -78,7 +78,7 @@
                         assert!(amount.is_finite());
                         self.calls.push((index, key));
                     }
-                    Action::Relay(job, server, patience) => self.check_relay(index, job, server, patience),
+                    Action::Relay(job, server, timeout) => self.check_relay(index, job, server, timeout),
                     Action::CancelRelay(job, _) => assert!(self.jobs.contains_key(&job)),
                     Action::Reject(job) | Action::Fail(job) => self.check_answer(index, job, action),
                 }
@@ -86,20 +86,23 @@
         }
     }
 
-    fn check_relay(&mut self, index: usize, id: JobId, server: ServerId, patience: Span) {
+    fn check_relay(&mut self, index: usize, id: JobId, server: ServerId, timeout: Span) {
         let (owner, job) = self.jobs.get_mut(&id).expect("a known job");
         assert_eq!(*owner, index);
         assert!(!job.answered, "rule 1: relay after the final answer");
-        assert!(self.now + patience <= job.arrival.abandon_at, "rule 1: relay outlives its job");
+        assert!(self.now + timeout <= job.arrival.abandon_at, "rule 1: relay outlives its job");
         assert_eq!(job.in_progress, None, "two relays at once");
         assert_eq!(self.health[&server], Health::Ready, "rule 3");
         for &(before, sent) in &job.may_have_run {
             match deployment().classes[job.arrival.class].repeat {
                 RepeatPolicy::Idempotent => {}
                 RepeatPolicy::NonIdempotent => panic!("rule 2: job that must not repeat sent again"),
-                RepeatPolicy::Deduplicated(group, window) => {
+                RepeatPolicy::Deduplicated(scope, window) => {
                     assert!(self.now.since(sent) < window, "rule 2: repeat window");
-                    assert!(group == DedupScope::All || before % 2 == server % 2, "rule 2: group");
+                    assert!(
+                        scope == DedupScope::All || before % 2 == server % 2,
+                        "rule 2: scope of deduplication"
+                    );
                 }
             }
         }
