--- a/crates/simulation/src/stores/store.rs
+++ b/crates/simulation/src/stores/store.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Identity, Member, StoreNumber, StoreView, Told};
+use fennelgauge_coordination::{
+    GroupConfirmation, GroupNumber, Identity, Member, StoreNumber, StoreReport, StoreView,
+};
 use fennelgauge_replication::{Entry, EntryPosition, Replica, Role};
 
 use super::core::OfGroups;
@@ -217,18 +219,18 @@
             match record {
                 Record::Entry(entry) => {
                     if let Some(replica) = self.replicas.get_mut(&entry.group) {
-                        replica.restore(entry);
+                        replica.restore_entry(entry);
                     }
                 }
                 Record::Copy { group, copy } => {
                     if let Some(replica) = self.replicas.get_mut(group) {
-                        replica.restore_copy(copy);
+                        replica.restore_snapshot(copy);
                     }
                 }
             }
         }
         for replica in self.replicas.values_mut() {
-            replica.mark_synced(replica.position());
+            replica.mark_durable(replica.position());
         }
         if !self.has(StorePlant::GoesBack) {
             self.earliest_view = self.replicas.values().map(Replica::newest_epoch).max().unwrap_or(0);
@@ -255,11 +257,15 @@
         }
     }
 
-    pub fn heard(&self) -> Heard {
+    pub fn heard(&self) -> StoreReport {
         let told = |groups: &BTreeMap<GroupNumber, u64>| {
-            groups.iter().map(|(group, epoch)| Told { group: *group, epoch: *epoch }).collect()
+            groups.iter().map(|(group, epoch)| GroupConfirmation { group: *group, epoch: *epoch }).collect()
         };
-        Heard { member: self.member(), copied: told(&self.copied), holds: told(&self.holds) }
+        StoreReport {
+            member: self.member(),
+            copied_groups: told(&self.copied),
+            held_groups: told(&self.holds),
+        }
     }
 
     /// The entries that it has of a group.
@@ -323,7 +329,7 @@
 
     pub(super) fn takes_changes(&self, group: GroupNumber) -> bool {
         let role = self.changing_role(group);
-        self.replicas.get(&group).is_some_and(|replica| replica.takes_changes(role.as_ref()))
+        self.replicas.get(&group).is_some_and(|replica| replica.accepts_writes(role.as_ref()))
     }
 
     fn place_of(&self, store: StoreNumber) -> Option<usize> {
