--- a/crates/benchlink/src/session.rs
+++ b/crates/benchlink/src/session.rs
@@ -61,30 +61,30 @@
 }
 
 impl Host for ReplyWriter {
-    fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
-        self.push(action::RELAY, [&job.to_le_bytes(), &server.to_le_bytes(), &micros(patience)]);
+    fn relay(&mut self, job: JobId, server: ServerId, timeout: Span) {
+        self.push(action::RELAY, [&job.to_le_bytes(), &server.to_le_bytes(), &micros(timeout)]);
     }
 
     fn cancel_relay(&mut self, job: JobId, relay: u8) {
         self.push(action::CANCEL_RELAY, [&job.to_le_bytes(), &[relay], &[]]);
     }
 
-    fn reject(&mut self, job: JobId, hold_off: Option<Span>) {
-        self.push(action::REJECT, [&job.to_le_bytes(), &micros(hold_off.unwrap_or_default()), &[]]);
+    fn reject(&mut self, job: JobId, retry_after: Option<Span>) {
+        self.push(action::REJECT, [&job.to_le_bytes(), &micros(retry_after.unwrap_or_default()), &[]]);
     }
 
     fn fail(&mut self, job: JobId) {
         self.push(action::FAIL, [&job.to_le_bytes(), &[], &[]]);
     }
 
-    fn set_timer(&mut self, after: Span, mark: u64) {
-        self.push(action::SET_TIMER, [&micros(after), &mark.to_le_bytes(), &[]]);
+    fn set_timer(&mut self, after: Span, timer_id: u64) {
+        self.push(action::SET_TIMER, [&micros(after), &timer_id.to_le_bytes(), &[]]);
     }
 
-    fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span) {
+    fn add_to_counter(&mut self, key: CounterKey, amount: f64, retention: Span) {
         self.push(
             action::ADD_TO_COUNTER,
-            [&name.to_le_bytes(), &(amount as f32).to_le_bytes(), &micros(keep)],
+            [&key.to_le_bytes(), &(amount as f32).to_le_bytes(), &micros(retention)],
         );
     }
 
@@ -142,7 +142,7 @@
             }
             event::ARRIVAL => gateway.job_arrived(now, arrival(record)?),
             event::RELAY_ENDED => {
-                let outcome = outcome(record.u16(17)).ok_or("unknown status of an outcome")?;
+                let outcome = outcome(record.u16(17)).ok_or("unknown outcome status")?;
                 gateway.relay_ended(
                     now,
                     RelayEnd {
@@ -158,7 +158,7 @@
             1050 | 1070 => gateway.job_closed(now, record.u64(4)),
             event::TIMER => gateway.timer_fired(now, record.u64(4)),
             event::COUNTER_REPLY => {
-                let outcome = outcome(record.u16(12)).ok_or("unknown status of an outcome")?;
+                let outcome = outcome(record.u16(12)).ok_or("unknown outcome status")?;
                 let total = Some(f64::from(record.f32(14)))
                     .filter(|total| outcome == Outcome::Succeeded && total.is_finite());
                 gateway.counter_replied(now, record.u64(4), total, outcome);
--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -191,7 +191,7 @@
     pub plan_names: Vec<String>,
     /// Names of the zones.
     pub zone_names: Vec<String>,
-    /// Index of this gateway's zone in `zone_names`; `None` if not given or out of range.
+    /// Index of this gateway's zone in `zone_names`; `None` if not given or not within 0..255.
     pub own_zone: Option<u8>,
     /// Messages per second that a gateway accepts from the others; 0 if gateways must not send each other messages.
     pub peer_messages_per_s: f64,
--- a/crates/spread/src/subset/tests.rs
+++ b/crates/spread/src/subset/tests.rs
@@ -35,12 +35,12 @@
     }
     assert!(first.iter().filter(|server| **server == 2).count() <= 3, "{first:?}");
     // A hundred gateways that learn of a new server do not all use it next.
-    let use_it_next = (0..100).filter(|rank| {
+    let use_it_next = (0..100).filter(|own| {
         let mut subset = Subset::default();
-        subset.update(&servers(10), RingPosition::among_all(*rank, 100), 6.0);
+        subset.update(&servers(10), RingPosition::among_all(*own, 100), 6.0);
         let server = subset.in_turn_order().next().unwrap();
         subset.record_relay(server);
-        subset.update(&servers(11), RingPosition::among_all(*rank, 100), 6.0);
+        subset.update(&servers(11), RingPosition::among_all(*own, 100), 6.0);
         let next = subset.in_turn_order().next();
         next == Some(10)
     });
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -3,9 +3,9 @@
 //! (2) no job runs again against its repeat policy, (3) only ready servers get jobs, (4) no cold server is overloaded,
 //! (5) no customer exceeds its ceiling. The interface is in `host.rs`, the state in `state.rs`.
 
-use crate::chance::{hash_of, Random};
 use crate::host::{Arrival, CounterKey, CustomerId, Deployment, Host, JobId, Outcome, RosterEntry};
 use crate::host::{ConditionalAdd, Health, Plan, RelayEnd, ServerId, JOB_ID_LIMIT};
+use crate::random::{hash_of, Random};
 use crate::state::{self, Bucket, Call, Counter, Customer, Fleet, Job, Pool, Server, Stage, Step};
 use crate::time::{Moment, Span};
 use fennelgauge_spread::{Candidate, RelayRate, RingPosition};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,8 @@
 //! it, which server gets it, whether to retry it, and when to give up. [`choice::Gateway`] makes these decisions
 //! without I/O or a clock of its own; it acts through [`host::Host`], which the embedding program implements.
 
-mod chance;
 pub mod choice;
 pub mod host;
+mod random;
 mod state;
 pub mod time;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -216,7 +216,7 @@
                 self.check_actions();
             }
             6..=9 => {
-                let out: Vec<JobId> =
+                let relayed: Vec<JobId> =
                     self.jobs.iter().filter(|job| job.1 .1.in_progress.is_some()).map(|job| *job.0).collect();
                 let first = [
                     Outcome::Succeeded,
@@ -228,7 +228,7 @@
                 let others = [Outcome::ConnectFailed, Outcome::Reset, Outcome::Cancelled, Outcome::Succeeded];
                 let outcome =
                     *first.iter().chain(&others).cycle().nth(b as usize).expect("a cycle is infinite");
-                if let Some(id) = out.get(a as usize % out.len().max(1)) {
+                if let Some(id) = relayed.get(a as usize % relayed.len().max(1)) {
                     self.end_relay(*id, outcome);
                 }
             }
