--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A handful of replicas that speak to each other at once, with what a test holds back.
+//! A fleet of replicas whose messages are delivered immediately, except those that a test drops.
 
 #![allow(dead_code)]
 
@@ -11,7 +11,7 @@
     ViewRules, VotingRecord, WriteRefusal,
 };
 
-/// A value that changes are added to.
+/// A replicated value: a text that changes append to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Text(pub String);
 
@@ -50,22 +50,24 @@
     View { epoch, voters: members(voters), chain: members(chain), start }
 }
 
-/// A machine with what is on its disk.
+/// A replica and the state that it has written to its disk.
 pub struct Machine {
     pub replica: Replica<Text>,
     pub disk: DurableState<Text>,
 }
 
-/// Machines with numbers from 1 on.
+/// Machines, numbered from 1 on, and the messages between them.
 pub struct Fleet {
     pub machines: Vec<Machine>,
-    pub on_the_way: VecDeque<(usize, SocketAddr, Message)>,
-    pub losses: usize,
+    /// Messages not delivered yet: index of the sender, address of the receiver, message.
+    pub in_flight: VecDeque<(usize, SocketAddr, Message)>,
+    /// Number of tolerated failures.
+    pub tolerated_failures: usize,
 }
 
 impl Fleet {
-    /// All of them in a view, at the same version.
-    pub fn in_view(count: u8, losses: usize, view: &View, text: &str) -> Self {
+    /// Creates machines that are all in the same view, at the same version.
+    pub fn in_view(count: u8, tolerated_failures: usize, view: &View, text: &str) -> Self {
         let machines = (1..=count).map(|number| {
             let stored = DurableState {
                 record: VotingRecord { acceptor: Acceptor::new(view.clone()), persist_request: None },
@@ -73,56 +75,61 @@
                     .with_epoch(view.epoch),
                 value: Arc::new(Text(text.to_owned())),
             };
-            machine(member(number, 1), losses, stored)
+            machine(member(number, 1), tolerated_failures, stored)
         });
-        Self { machines: machines.collect(), on_the_way: VecDeque::new(), losses }
+        Self { machines: machines.collect(), in_flight: VecDeque::new(), tolerated_failures }
     }
 
-    /// A further machine with an empty disk.
+    /// Adds a machine with an empty disk; returns its index.
     pub fn add_empty(&mut self, member: Member) -> usize {
-        self.machines.push(machine(member, self.losses, DurableState::empty(&[])));
+        self.machines.push(machine(member, self.tolerated_failures, DurableState::empty(&[])));
         self.machines.len() - 1
     }
 
+    /// Returns the replica of a machine.
     pub fn replica(&self, number: usize) -> &Replica<Text> {
         &self.machines[number - 1].replica
     }
 
-    /// The process ends and starts again from its disk.
+    /// Restarts a machine from its disk.
     pub fn restart(&mut self, number: usize) {
         let Machine { replica, disk } = &self.machines[number - 1];
-        let again = machine(replica.own_member().clone(), self.losses, disk.clone());
-        self.machines[number - 1] = again;
+        let restarted = machine(replica.own_member().clone(), self.tolerated_failures, disk.clone());
+        self.machines[number - 1] = restarted;
     }
 
-    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Replica<Text>) -> Effects) {
-        let outcome = act(&mut self.machines[number - 1].replica);
-        self.perform(number - 1, outcome);
+    /// Calls a replica and performs the effects.
+    pub fn act(&mut self, number: usize, call: impl FnOnce(&mut Replica<Text>) -> Effects) {
+        let effects = call(&mut self.machines[number - 1].replica);
+        self.perform(number - 1, effects);
     }
 
+    /// Makes a change on a machine.
     pub fn write(&mut self, number: usize, change: &str) -> Result<Version, WriteRefusal> {
         let written = self.machines[number - 1].replica.write(change.as_bytes().to_vec());
-        let (version, outcome) = written?;
-        self.perform(number - 1, outcome);
+        let (version, effects) = written?;
+        self.perform(number - 1, effects);
         Ok(version)
     }
 
-    fn perform(&mut self, at: usize, outcome: Effects) {
-        let machine = &mut self.machines[at];
-        if outcome.write_record {
+    /// Performs the effects of a replica: writes its disk, then queues its messages.
+    fn perform(&mut self, index: usize, effects: Effects) {
+        let machine = &mut self.machines[index];
+        if effects.write_record {
             machine.disk.record = machine.replica.record().clone();
         }
-        if outcome.write_value {
+        if effects.write_value {
             machine.disk.version = machine.replica.version();
             machine.disk.value = machine.replica.value().clone();
         }
-        self.on_the_way.extend(outcome.sends.into_iter().map(|(to, message)| (at, to, message)));
+        self.in_flight.extend(effects.sends.into_iter().map(|(to, message)| (index, to, message)));
     }
 
-    /// Delivers all messages, and those that follow, which `passes` lets through; others are lost.
-    pub fn settle(&mut self, passes: impl Fn(usize, usize, &Message) -> bool) {
+    /// Delivers all messages, and those sent in response, until none is left. Messages that `passes` rejects are lost; its
+    /// arguments are the numbers of sender and receiver, and the message.
+    pub fn deliver(&mut self, passes: impl Fn(usize, usize, &Message) -> bool) {
         for _ in 0..10_000 {
-            let Some((from, to, message)) = self.on_the_way.pop_front() else { return };
+            let Some((from, to, message)) = self.in_flight.pop_front() else { return };
             let Some(to) = self.machines.iter().position(|it| it.replica.own_member().peer == to) else {
                 continue;
             };
@@ -130,32 +137,34 @@
                 continue;
             }
             let sender = self.machines[from].replica.own_member().clone();
-            let outcome = self.machines[to].replica.handle(&sender, message);
-            self.perform(to, outcome);
+            let effects = self.machines[to].replica.handle(&sender, message);
+            self.perform(to, effects);
         }
-        panic!("messages never end");
+        panic!("the machines never stop sending messages");
     }
 
-    pub fn settle_all(&mut self) {
-        self.settle(|_, _, _| true);
+    /// Delivers all messages, and those sent in response.
+    pub fn deliver_all(&mut self) {
+        self.deliver(|_, _, _| true);
     }
 
+    /// Returns the present value of a machine.
     pub fn text(&self, number: usize) -> &str {
         &self.replica(number).value().0
     }
 
-    /// What a machine takes for committed.
+    /// Returns the value that a machine knows to be committed.
     pub fn committed(&self, number: usize) -> Option<&str> {
         self.replica(number).committed_value().map(|text| text.0.as_str())
     }
 }
 
-fn machine(me: Member, losses: usize, stored: DurableState<Text>) -> Machine {
+fn machine(me: Member, tolerated_failures: usize, stored: DurableState<Text>) -> Machine {
     let disk = stored.clone();
-    Machine { replica: Replica::new(me, true, ViewRules::tolerating(losses), stored), disk }
+    Machine { replica: Replica::new(me, true, ViewRules::tolerating(tolerated_failures), stored), disk }
 }
 
-/// Lets nothing pass to or from some machines.
-pub fn without(out: &'static [usize]) -> impl Fn(usize, usize, &Message) -> bool {
-    move |from, to, _| !out.contains(&from) && !out.contains(&to)
+/// Returns a filter for [`Fleet::deliver`] that drops all messages to and from some machines.
+pub fn without(excluded: &'static [usize]) -> impl Fn(usize, usize, &Message) -> bool {
+    move |from, to, _| !excluded.contains(&from) && !excluded.contains(&to)
 }
--- a/crates/coordination/tests/view.rs
+++ b/crates/coordination/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views: who votes next, which chain takes writes; a voter's promises.
+//! Views: the voters and the chain of the next view, and the promises of a voter.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Names; `a2` is machine `a` with another disk.
+/// Returns the members with these names; `a2` is machine `a` with a new disk.
 fn members(names: &str) -> Vec<Member> {
     let one = |name: &str| match name.strip_suffix('2') {
         Some(node) => member(node, 2),
@@ -34,21 +34,23 @@
 }
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     voters: &'static str,
     chain: &'static str,
-    /// Not heard for a while.
+    /// Suspected to be down.
     down: &'static str,
-    /// Not heard for so long that they are replaced.
+    /// Unresponsive for so long that they may be replaced.
     lost: &'static str,
-    /// Lack changes.
+    /// Not caught up.
     behind: &'static str,
     joiners: &'static str,
+    /// Voters and chain of the next view, if there is one.
     next: Option<(&'static str, &'static str)>,
 }
 
-const QUIET: Case = Case {
-    what: "nothing to do",
+/// A healthy view of three voters.
+const HEALTHY: Case = Case {
+    name: "all voters are alive",
     voters: "a b c",
     chain: "a b c",
     down: "",
@@ -59,64 +61,69 @@
 };
 
 #[test]
-fn the_number_of_voters_stays_and_the_chain_follows_the_living() {
+fn the_number_of_voters_is_kept_and_the_chain_excludes_failed_machines() {
     let cases = [
-        QUIET,
-        Case { what: "one is down: it still votes", down: "a", next: Some(("a b c", "b c")), ..QUIET },
-        Case { what: "two are down: no shorter chain", down: "a b", ..QUIET },
-        Case { what: "one is back and level", chain: "b c", next: Some(("a b c", "b c a")), ..QUIET },
-        Case { what: "one is back and behind", chain: "b c", behind: "a", ..QUIET },
+        HEALTHY,
         Case {
-            what: "one is behind, and without it there are too few",
+            name: "one is down: it leaves the chain and stays a voter",
+            down: "a",
+            next: Some(("a b c", "b c")),
+            ..HEALTHY
+        },
+        Case { name: "two are down: the chain cannot get shorter", down: "a b", ..HEALTHY },
+        Case { name: "one is back and caught up", chain: "b c", next: Some(("a b c", "b c a")), ..HEALTHY },
+        Case { name: "one is back and not caught up", chain: "b c", behind: "a", ..HEALTHY },
+        Case {
+            name: "one is not caught up, but the chain would be too short without it",
             chain: "b c",
             down: "b",
             behind: "a",
             next: Some(("a b c", "c a")),
-            ..QUIET
+            ..HEALTHY
         },
         Case {
-            what: "down, not lost: nobody takes its place",
+            name: "down, but not lost: it is not replaced",
             chain: "b c",
             down: "a",
             joiners: "d",
-            ..QUIET
+            ..HEALTHY
         },
         Case {
-            what: "lost: a level machine takes its place",
+            name: "lost: a caught-up machine replaces it",
             chain: "b c",
             down: "a",
             lost: "a",
             joiners: "d",
             next: Some(("d b c", "b c d")),
-            ..QUIET
+            ..HEALTHY
         },
-        Case { what: "lost, and nobody is there", chain: "b c", down: "a", lost: "a", ..QUIET },
+        Case { name: "lost, but no machine can replace it", chain: "b c", down: "a", lost: "a", ..HEALTHY },
         Case {
-            what: "its disk was lost: at once",
+            name: "its disk was lost: it is replaced at once",
             chain: "b c",
             down: "a",
             joiners: "a2",
             next: Some(("a2 b c", "b c a2")),
-            ..QUIET
+            ..HEALTHY
         },
         Case {
-            what: "two disks were lost: one after the other",
+            name: "two disks were lost: one is replaced after the other",
             voters: "a b c d e",
             chain: "c d e",
             down: "a b",
             lost: "a b",
             joiners: "a2 b2",
             next: Some(("a2 b c d e", "c d e a2")),
-            ..QUIET
+            ..HEALTHY
         },
-        Case { what: "all seats are taken", joiners: "d", ..QUIET },
+        Case { name: "no place is free", joiners: "d", ..HEALTHY },
         Case {
-            what: "a seat is free",
+            name: "a place is free",
             voters: "a b",
             chain: "a b",
             joiners: "d",
             next: Some(("a b d", "a b d")),
-            ..QUIET
+            ..HEALTHY
         },
     ];
     for case in cases {
@@ -128,35 +135,35 @@
         };
         let (down, lost, behind) = (members(case.down), members(case.lost), members(case.behind));
         let joiners = members(case.joiners);
-        let judged = ClusterStatus {
+        let status = ClusterStatus {
             is_alive: &|member| !down.contains(member),
             is_lost: &|member| lost.contains(member),
             is_caught_up: &|member| !behind.contains(member),
             joiners: &joiners,
         };
         let losses = view.voters.len().max(3) / 2;
-        let next = next_view(&view, &judged, ViewRules::tolerating(losses));
+        let next = next_view(&view, &status, ViewRules::tolerating(losses));
         let next = next.map(|view| (names(&view.voters), names(&view.chain)));
         let expected = case.next.map(|(voters, chain)| (voters.to_owned(), chain.to_owned()));
-        assert_eq!(next, expected, "{}", case.what);
+        assert_eq!(next, expected, "{}", case.name);
     }
 }
 
 #[test]
-fn every_chain_meets_every_majority() {
+fn every_chain_intersects_every_majority() {
     for losses in 0..4 {
         let rules = ViewRules::tolerating(losses);
         for voters in 1..=rules.voter_count() {
             let links = rules.min_chain_length(voters);
             let majority = voters / 2 + 1;
             assert!(links + majority > voters, "{voters} voters, {links} links");
-            assert!(links > losses, "a chain of {links} does not outlive {losses} losses");
+            assert!(links > losses, "a chain of {links} does not survive {losses} losses");
         }
     }
 }
 
 #[test]
-fn a_voter_holds_to_its_promise() {
+fn a_voter_keeps_its_promise() {
     let ballot = |round, node: &str| Ballot { round, proposer: member(node, 1).identity };
     let view =
         |epoch| View { epoch, voters: members("a b c"), chain: members("a b"), start: Version::default() };
@@ -168,12 +175,12 @@
     assert_eq!(acceptor.accept(&ballot(1, "c"), &view(5)), Err(ballot(2, "b")));
     assert_eq!(acceptor.accept(&ballot(2, "b"), &view(5)), Ok(()));
     assert_eq!(acceptor.prepare(&ballot(3, "c")), Ok(()));
-    assert_eq!(acceptor.accepted, Some((ballot(2, "b"), view(5))), "what was accepted is not forgotten");
+    assert_eq!(acceptor.accepted, Some((ballot(2, "b"), view(5))), "the accepted proposal is kept");
     assert_eq!(acceptor.accept(&ballot(2, "b"), &view(5)), Err(ballot(3, "c")));
 }
 
 #[test]
-fn seeds_need_two_of_three_for_a_first_view() {
+fn the_first_view_needs_a_majority_of_the_seeds() {
     let peers: Vec<SocketAddr> = (1..=3).map(|last| SocketAddr::from(([10, 0, 0, last], 7360))).collect();
     assert_eq!(View::from_seeds(&peers, Version::default()).majority(), 2);
     assert_eq!(View::from_seeds(&peers[..1], Version::default()).majority(), 1);
