--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -17,6 +17,7 @@
 /// An identity, its address and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
+    /// The identity.
     pub identity: Identity,
     /// Address for calls among our own processes.
     pub peer: SocketAddr,
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -9,7 +9,9 @@
 /// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
+    /// The sender.
     pub from: Member,
+    /// The message.
     pub message: Message,
 }
 
@@ -73,6 +75,7 @@
 /// How much of a snapshot has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotProgress {
+    /// Version of the snapshot.
     pub version: Version,
     /// Number of bytes received, from the beginning.
     pub offset: u64,
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -101,6 +101,7 @@
         (self.tolerated_failures + 2).min(usable.max(self.min_holders()))
     }
 
+    /// Whether this bug is planted.
     pub(crate) fn has(&self, bug: PlannerBug) -> bool {
         self.planted == Some(bug)
     }
@@ -109,6 +110,7 @@
         self.reports.iter().find(|report| report.member.identity == store.member.identity)
     }
 
+    /// Whether a store is alive and not retiring.
     fn is_usable(&self, store: &Store) -> bool {
         !store.retiring && self.report_of(store).is_some()
     }
--- a/crates/coordination/src/replica/chain.rs
+++ b/crates/coordination/src/replica/chain.rs
@@ -6,7 +6,7 @@
 use super::{PlantedBug, Replica};
 use crate::{Effects, LogEntry, Member, Message, Replicated, Version};
 
-/// Why a write was not accepted. The write had no effect, so it may be retried.
+/// Why a write was not accepted. A refused write had no effect, and retrying it is always safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteRefusal {
     /// This machine is not the head of the chain.
--- a/crates/coordination/src/replica/mod.rs
+++ b/crates/coordination/src/replica/mod.rs
@@ -136,6 +136,7 @@
         self.planted = Some(bug);
     }
 
+    /// Whether this bug is planted.
     pub(crate) fn has(&self, bug: PlantedBug) -> bool {
         self.planted == Some(bug)
     }
@@ -312,6 +313,7 @@
         epoch == self.view().epoch
     }
 
+    /// Queues a message; a message to this machine itself is handled before the effects are returned.
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
         match to == self.own_member.peer {
             true => self.self_messages.push_back(message),
--- a/crates/coordination/src/replica/view_change.rs
+++ b/crates/coordination/src/replica/view_change.rs
@@ -33,6 +33,7 @@
 /// This machine's attempt, as proposer, to have the view after the present one decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Attempt {
+    /// How far the attempt has got.
     pub phase: Phase,
     ballot: Ballot,
     /// The view to decide; while promises are collected, the one that this proposer prefers.
@@ -68,10 +69,12 @@
         self.finish()
     }
 
+    /// Returns the phase of this machine's attempt; none if it makes none.
     pub(crate) fn phase(&self) -> Option<Phase> {
         self.attempt.as_ref().map(|attempt| attempt.phase)
     }
 
+    /// Ends this machine's attempt without a result.
     pub(crate) fn abandon_attempt(&mut self) {
         self.attempt = None;
     }
@@ -309,7 +312,7 @@
             self.start_accept_phase();
         } else if enough && new_voters_persisted {
             proposal.chain.retain(|link| durable_voters.contains(link));
-            let others = durable_voters.into_iter().filter(|holder| !proposal.chain.contains(holder));
+            let others = durable_voters.into_iter().filter(|voter| !proposal.chain.contains(voter));
             let others: Vec<Member> = others.collect();
             proposal.chain.extend(others);
             self.start_accept_phase();
--- a/crates/coordination/src/stores.rs
+++ b/crates/coordination/src/stores.rs
@@ -36,6 +36,7 @@
 /// A registered store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Store {
+    /// The store's number.
     pub number: StoreNumber,
     /// Identity and address of the store's process.
     pub member: Member,
@@ -46,6 +47,7 @@
 /// A store that was assigned to a group as a learner or as a joining link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Assignment {
+    /// The assigned store.
     pub store: StoreNumber,
     /// Epoch of the first view with this assignment; the store's confirmations for earlier views do not count.
     pub since_epoch: u64,
