--- a/crates/batch/src/state.rs
+++ b/crates/batch/src/state.rs
@@ -16,14 +16,30 @@
     /// Adds a job; no effect if a job with that id exists.
     Accept(Job),
     /// Appends results to a job; a result for an item that has one is ignored.
-    RecordResults { job: String, results: Vec<ItemResult> },
+    RecordResults {
+        /// Id of the job.
+        job: String,
+        /// Results in the order in which they are appended.
+        results: Vec<ItemResult>,
+    },
     /// Marks a job as cancelled by its owner; its unfinished items do not run.
-    Cancel { job: String },
+    Cancel {
+        /// Id of the job.
+        job: String,
+    },
     /// Forgets a job with its results.
-    Remove { job: String },
+    Remove {
+        /// Id of the job.
+        job: String,
+    },
     /// Replaces a group whose data an operator gave up by an empty one, in the view with this epoch. `given_up_jobs`
     /// holds the ids of the lost jobs as far as they are known; they are not accepted again.
-    Recreate { epoch: u64, given_up_jobs: BTreeSet<String> },
+    Recreate {
+        /// Epoch of the view in which the group starts again.
+        epoch: u64,
+        /// Ids of the lost jobs, as far as they are known.
+        given_up_jobs: BTreeSet<String>,
+    },
 }
 
 /// A batch job with its results so far.
@@ -99,6 +115,7 @@
 /// All batch jobs of one group, in the order of their ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupState {
+    /// Jobs by id.
     jobs: BTreeMap<String, JobState>,
     /// Queued tokens by (tenant, route); without entries that are 0.
     queued: BTreeMap<(String, String), u64>,
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -43,6 +43,7 @@
 pub struct Core {
     /// This member, as it is known to the others.
     pub me: Member,
+    /// Settings of this process.
     pub settings: Rc<Settings>,
     /// Configuration, server list and views that this process has and serves to watchers.
     pub known: Rc<Known>,
@@ -141,6 +142,7 @@
         }
     }
 
+    /// Collects the data that an outcome requires to be written.
     fn writes(&self, outcome: &Outcome) -> Writes {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
@@ -150,6 +152,7 @@
         }
     }
 
+    /// Sends a message without waiting for its delivery.
     fn send(self: &Rc<Self>, to: SocketAddr, message: Message) {
         let request = Request::Coordination(Box::new(Envelope { from: self.me.clone(), message }));
         let caller = self.caller.clone();
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -24,7 +24,7 @@
 /// recover by hand.
 const VERSIONS_KEPT: usize = 3;
 
-/// A record with the identity that made it.
+/// A record file's content: the record and the disk number of the identity that made it.
 #[derive(Serialize, Deserialize)]
 struct RecordFile {
     disk: u64,
@@ -52,6 +52,7 @@
 /// Data handed to the writing thread.
 struct WriteJob {
     writes: Writes,
+    /// Receives the result of the write.
     done: oneshot::Sender<Result<(), VersionsError>>,
 }
 
@@ -59,6 +60,7 @@
 /// succeeds.
 #[derive(Clone)]
 pub struct Storage {
+    /// Queue of the writing thread; `None` without a data directory.
     jobs: Option<mpsc::Sender<WriteJob>>,
 }
 
@@ -68,6 +70,7 @@
     pub identity: Identity,
     /// The record and the control state that were read; initial ones if the directory was empty or unreadable.
     pub stored: Stored<ControlState>,
+    /// Writes to the opened directory.
     pub storage: Storage,
 }
 
@@ -123,9 +126,11 @@
     configuration_directory: VersionDirectory,
     /// Disk number of the member's identity.
     disk: u64,
-    /// Sequence number of the newest file in each directory.
+    /// Sequence number of the newest record file.
     records: u64,
+    /// Sequence number of the newest value file.
     values: u64,
+    /// Sequence number of the newest configuration file.
     configurations: u64,
     /// Sequence number and digest of the newest configuration on the disk.
     written_configuration: Option<(u64, u128)>,
@@ -162,8 +167,8 @@
             return Ok(Some(*stored));
         }
         let disk = random_number();
-        let number = highest_sequence(&self.identity_directory)? + 1;
-        self.identity_directory.write(version_name(number), &disk.to_le_bytes())?;
+        let sequence = highest_sequence(&self.identity_directory)? + 1;
+        self.identity_directory.write(version_name(sequence), &disk.to_le_bytes())?;
         if matches!(contents, Contents::Incomplete) {
             log::error!(
                 "core state on the disk is partly missing or unreadable: this machine joins the core as a new member, its old files are set aside"
@@ -217,7 +222,7 @@
     }
 
     /// Reads the configuration of a value, and notes both as kept.
-    fn load_value(&mut self, number: u64, file: ValueFile) -> Option<(Version, Arc<ControlState>)> {
+    fn load_value(&mut self, sequence: u64, file: ValueFile) -> Option<(Version, Arc<ControlState>)> {
         let configuration = match file.configuration {
             None => SharedConfiguration::default(),
             Some(number) => {
@@ -225,7 +230,7 @@
             }
         };
         self.written_configuration = file.configuration.map(|number| (number, configuration.digest()));
-        self.kept.push_back((number, file.configuration));
+        self.kept.push_back((sequence, file.configuration));
         Some((file.version, Arc::new(ControlState { configuration, metadata: file.metadata })))
     }
 
--- a/crates/control-plane/src/identity.rs
+++ b/crates/control-plane/src/identity.rs
@@ -25,13 +25,13 @@
 
 /// Returns the disk number stored in the data directory, after storing a new one if there is none.
 fn stored_disk_number(path: &Path) -> anyhow::Result<u64> {
-    let folder = VersionDirectory::open(&path.join("identity"), "identity")?;
-    if let Some((_, body)) = folder.newest_valid()? {
+    let directory = VersionDirectory::open(&path.join("identity"), "identity")?;
+    if let Some((_, body)) = directory.newest_valid()? {
         if let Ok(bytes) = body.as_slice().try_into() {
             return Ok(u64::from_le_bytes(bytes));
         }
     }
     let number = random_number();
-    folder.write(VersionName { epoch: 0, sequence: 1 }, &number.to_le_bytes())?;
+    directory.write(VersionName { epoch: 0, sequence: 1 }, &number.to_le_bytes())?;
     Ok(number)
 }
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -25,30 +25,46 @@
 /// Body of the response about a group.
 #[derive(Serialize)]
 struct GroupBody {
+    /// Number of the group.
     group: u16,
+    /// Epoch of the store view that this response describes.
     view: u64,
+    /// Whether enough stores hold the group for it to accept changes and answer reads.
     open: bool,
+    /// The stores that hold the group, or held it when they were heard last.
     holders: Vec<HolderBody>,
+    /// Nodes in the chain that have not reported yet that they have everything.
     joining: Vec<String>,
+    /// Node that copies the group before it joins the chain.
     learner: Option<String>,
+    /// The times that the group was given up, oldest first.
     given_up: Vec<GivenUpBody>,
 }
 
 #[derive(Serialize)]
+/// A store that holds the group.
 struct HolderBody {
     node: String,
+    /// Number of entries that it reported last; absent if it never reported one.
     entries: Option<u64>,
+    /// Whether the store is live.
     heard: bool,
     /// Time since the last heartbeat, in seconds; 0 while the store is live.
     silent_s: u64,
 }
 
 #[derive(Serialize)]
+/// A record of the group having been given up.
 struct GivenUpBody {
+    /// Epoch of the store view that the operator saw.
     view: u64,
+    /// Epoch of the store view in which the group started again, empty.
     begun_in: u64,
+    /// The holders that the operator's order named.
     holders: Vec<LastHolder>,
+    /// Whether the order was forced.
     forced: bool,
+    /// Wall-clock time of the change, in milliseconds since the Unix epoch.
     at_ms: u64,
 }
 
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -43,12 +43,15 @@
     changed: Notify,
 }
 
+/// A store's newest heartbeat and when it arrived.
 struct ReceivedHeartbeat {
     store: Heard,
     at: Instant,
 }
 
+/// What a store reported last about its groups.
 struct StoreReport {
+    /// When the store's last heartbeat arrived.
     at: Instant,
     /// Number of entries in each group.
     entry_counts: HashMap<GroupNumber, u64>,
@@ -86,13 +89,14 @@
         }
     }
 
+    /// Adds the ids of newly accepted jobs, and drops the oldest ones beyond the limit.
     fn record_job_ids(&self, accepted_jobs: Vec<(GroupNumber, Vec<String>)>) {
         let mut job_ids = self.job_ids.borrow_mut();
         for (group, accepted) in accepted_jobs {
-            let known = job_ids.entry(group).or_default();
-            known.extend(accepted);
-            let surplus = known.len().saturating_sub(MAX_JOB_IDS_PER_GROUP);
-            known.drain(..surplus);
+            let group_job_ids = job_ids.entry(group).or_default();
+            group_job_ids.extend(accepted);
+            let surplus = group_job_ids.len().saturating_sub(MAX_JOB_IDS_PER_GROUP);
+            group_job_ids.drain(..surplus);
         }
     }
 
@@ -218,13 +222,13 @@
         return;
     }
     let nodes: Vec<&str> = live_stores.iter().map(|store| store.member.identity.node.as_str()).collect();
-    for number in GroupNumber::all() {
-        let (was, is) = (view.group(number), next.group(number));
+    for group in GroupNumber::all() {
+        let (was, is) = (view.group(group), next.group(group));
         if was != is {
             log::info!(
                 "store view {}: group {} was {was:?}, is {is:?}; live stores: {nodes:?}",
                 next.epoch,
-                number.0
+                group.0
             );
         }
     }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -64,9 +64,11 @@
     collector: Rc<UsageCollector>,
     /// Adds up the server statistics of the processes that report to this machine.
     home: Rc<RefCell<StatsAggregator>>,
+    /// Origin of the times given to `home`.
     started: Instant,
 }
 
+/// Answers a call from another process of the tier.
 async fn answer(context: AnswerContext, request: Request) -> Reply {
     let AnswerContext { core, collector, home, started } = context;
     match request {
--- a/crates/control-plane/src/scaling.rs
+++ b/crates/control-plane/src/scaling.rs
@@ -95,6 +95,7 @@
     }
 }
 
+/// Returns the numbers of `after` that differ from `before`.
 fn changed_zones(before: &BTreeMap<String, u32>, after: BTreeMap<String, u32>) -> BTreeMap<String, u32> {
     after.into_iter().filter(|(zone, count)| before.get(zone) != Some(count)).collect()
 }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -130,15 +130,36 @@
     /// Replaces or patches the configuration.
     Configure(ConfigurationChange),
     /// Commits the request counts of a usage window.
-    CommitUsage { window: u64, counts: BTreeMap<String, u64> },
+    CommitUsage {
+        /// Number of the window.
+        window: u64,
+        /// Requests by tenant.
+        counts: BTreeMap<String, u64>,
+    },
     /// Replaces the placement of groups, if `stores` is set, and marks retiring nodes that hold no data any more.
-    Placement { stores: Option<StoreView>, emptied: Vec<String> },
+    Placement {
+        /// The new store view, if the placement changes.
+        stores: Option<StoreView>,
+        /// Retiring nodes that hold no data any more.
+        emptied: Vec<String>,
+    },
     /// Begins the retirement of a store node.
-    Retire { node: String },
+    Retire {
+        /// Name of the node.
+        node: String,
+    },
     /// Records ids of batch jobs in groups whose holders are all silent.
-    RecordLostJobs { lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>> },
+    RecordLostJobs {
+        /// Ids of batch jobs by group.
+        lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>>,
+    },
     /// Replaces a group by an empty one, as an operator ordered.
-    GiveUp { given_up: GivenUp, stores: StoreView },
+    GiveUp {
+        /// The operator's order and its effect, for the record.
+        given_up: GivenUp,
+        /// The store view in which the group starts again.
+        stores: StoreView,
+    },
 }
 
 impl StateChange {
--- a/crates/control-plane/src/store/concurrency.rs
+++ b/crates/control-plane/src/store/concurrency.rs
@@ -83,6 +83,7 @@
         self.decrease(capacity, now);
     }
 
+    /// Decreases the size, unless it was decreased within `DECREASE_INTERVAL`.
     fn decrease(&mut self, capacity: ServiceCapacity, now: Instant) {
         if self.decreased_at.is_some_and(|at| now - at < DECREASE_INTERVAL) {
             return;
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -33,15 +33,14 @@
             }
             let Some(view) = self.known.view() else { continue };
             let Some(head) = view.head() else { continue };
-            let heard = Heard {
+            let store = Heard {
                 member: self.me.clone(),
                 copied: group_epochs(&self.learned_groups.borrow()),
                 holds: group_epochs(&self.held_groups.borrow()),
             };
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
-            let heartbeat =
-                StoreHeartbeat { store: heard, entry_counts: entries, accepted_jobs: accepted.clone() };
+            let heartbeat = StoreHeartbeat { store, entry_counts: entries, accepted_jobs: accepted.clone() };
             let call =
                 self.caller.call(head.peer, Request::StoreHeartbeat(heartbeat), HEARTBEAT_CALL_TIMEOUT);
             match call.await {
@@ -83,6 +82,7 @@
         unreported.filter(|(_, ids)| !ids.is_empty()).collect()
     }
 
+    /// Remembers that these jobs were reported.
     fn mark_reported(&mut self, jobs: Vec<(GroupNumber, Vec<String>)>) {
         for (group, ids) in jobs {
             self.reported.entry(group).or_default().extend(ids);
@@ -99,6 +99,7 @@
     }
 }
 
+/// Converts groups and their view epochs to the form that a heartbeat has.
 fn group_epochs(groups: &BTreeMap<GroupNumber, u64>) -> Vec<Told> {
     groups.iter().map(|(group, epoch)| Told { group: *group, epoch: *epoch }).collect()
 }
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -21,12 +21,19 @@
     /// A log entry of a group.
     Entry(Entry),
     /// A snapshot of a group; replaces all earlier records of it.
-    Snapshot { group: GroupNumber, copy: GroupCopy },
+    Snapshot {
+        /// The group.
+        group: GroupNumber,
+        /// Its full state.
+        copy: GroupCopy,
+    },
 }
 
 /// Records handed to the writing thread.
 struct Write {
+    /// The encoded records.
     records: Vec<u8>,
+    /// Number of records.
     count: u64,
     /// Whether the records are snapshots of all groups, so that older files can be deleted.
     is_checkpoint: bool,
@@ -38,6 +45,7 @@
 /// is written, and every write succeeds.
 #[derive(Clone)]
 pub struct Journal {
+    /// Queue of the writing thread; `None` without a data directory.
     writes: Option<mpsc::Sender<Write>>,
     counters: JournalCounters,
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -51,9 +51,12 @@
 pub struct Store {
     me: Member,
     settings: Rc<Settings>,
+    /// Configuration, server list and views that this process has.
     known: Rc<Known>,
     caller: Caller,
+    /// Servers that items can go to, and what is known of their load and health.
     pool: Pool,
+    /// Sends items to servers.
     sender: Sender,
     journal: Journal,
     /// This store's replicas, by group number.
@@ -121,6 +124,7 @@
     Ok(())
 }
 
+/// Answers a call from another process of the tier.
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
