--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -45,7 +45,7 @@
 
 /// Requests by tenant.
 type CountsByTenant = BTreeMap<String, u64>;
-/// CountsByTenant by process: its node name and its incarnation.
+/// Requests by tenant, by process: its node name and its incarnation.
 type CountsByProcess = HashMap<(String, u64), CountsByTenant>;
 
 /// Collects the reports of all processes about requests that began and about late responses.
@@ -85,7 +85,7 @@
     /// Adds what has changed since the process's previous report to the counts of each service.
     fn record_timeliness(&self, process: (String, u64), reported: &[ServiceTimeliness]) {
         let previous = self.timeliness.borrow_mut().insert(process, reported.to_vec());
-        // CountsByTenant run from the process's start: its first report says nothing about the present.
+        // Counts run from the process's start: its first report says nothing about the present.
         let Some(previous) = previous else { return };
         let mut timeliness_since_taken = self.timeliness_since_taken.borrow_mut();
         for now in reported {
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -41,7 +41,7 @@
     done: oneshot::Sender<bool>,
 }
 
-/// JournalCounters records in the order in which they are handed over, on a thread of its own. Without a data directory nothing
+/// Writes records in the order in which they are handed over, on a thread of its own. Without a data directory nothing
 /// is written, and every write succeeds.
 #[derive(Clone)]
 pub struct Journal {
@@ -114,7 +114,7 @@
     }
 }
 
-/// JournalCounters what arrives in the queue, several waiting writes as one file, until the journal is dropped.
+/// Writes what arrives in the queue, several waiting writes as one file, until the journal is dropped.
 fn write_all(
     directory: &VersionDirectory,
     mut sequence: u64,
@@ -163,7 +163,7 @@
     }
 }
 
-/// JournalCounters one file and syncs it; returns whether that succeeded.
+/// Writes one file and syncs it; returns whether that succeeded.
 fn write_file(directory: &VersionDirectory, sequence: u64, body: &[u8]) -> bool {
     if body.is_empty() {
         return true;
