--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -21,12 +21,18 @@
     /// A log entry of a group.
     Entry(Entry),
     /// A snapshot of a group; replaces all earlier records of it.
-    Snapshot { group: GroupNumber, copy: GroupSnapshot },
+    Snapshot {
+        /// The group.
+ group: GroupNumber,
+        /// Its full state.
+ copy: GroupSnapshot },
 }
 
 /// Records handed to the writing thread.
 struct Write {
+    /// The encoded records.
     records: Vec<u8>,
+    /// Number of records.
     count: u64,
     /// Whether the records are snapshots of all groups, so that older files can be deleted.
     is_checkpoint: bool,
@@ -34,10 +40,11 @@
     done: oneshot::Sender<bool>,
 }
 
-/// JournalCounters records in the order in which they are handed over, on a thread of its own. Without a data directory nothing
+/// Writes records in the order in which they are handed over, on a thread of its own. Without a data directory nothing
 /// is written, and every write succeeds.
 #[derive(Clone)]
 pub struct Journal {
+    /// Queue of the writing thread; `None` without a data directory.
     writes: Option<mpsc::Sender<Write>>,
     counters: JournalCounters,
 }
@@ -106,7 +113,7 @@
     }
 }
 
-/// JournalCounters what arrives in the queue, several waiting writes as one file, until the journal is dropped.
+/// Writes what arrives in the queue, several waiting writes as one file, until the journal is dropped.
 fn write_all(
     directory: &VersionDirectory,
     mut sequence: u64,
@@ -155,7 +162,7 @@
     }
 }
 
-/// JournalCounters one file and syncs it; returns whether that succeeded.
+/// Writes one file and syncs it; returns whether that succeeded.
 fn write_file(directory: &VersionDirectory, sequence: u64, body: &[u8]) -> bool {
     if body.is_empty() {
         return true;
