--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -71,7 +71,6 @@
     /// The record and the control state that were read; initial ones if the directory was empty or unreadable.
     pub stored: DurableState<ControlState>,
     /// Writes to the opened directory.
-
     pub storage: Storage,
 }
 
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -52,7 +52,6 @@
 /// What a store reported last about its groups.
 struct EntryCountReport {
     /// When the store's last heartbeat arrived.
-
     at: Instant,
     /// Number of entries in each group.
     entry_counts: HashMap<GroupNumber, u64>,
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -158,9 +158,10 @@
     /// Replaces a group by an empty one, as an operator ordered.
     GiveUp {
         /// The operator's order and its effect, for the record.
- given_up: GiveUpRecord,
+        given_up: GiveUpRecord,
         /// The store view in which the group starts again.
- stores: StoreView, },
+        stores: StoreView,
+    },
 }
 
 impl StateChange {
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -23,9 +23,10 @@
     /// A snapshot of a group; replaces all earlier records of it.
     Snapshot {
         /// The group.
- group: GroupNumber,
+        group: GroupNumber,
         /// Its full state.
- copy: GroupSnapshot },
+        copy: GroupSnapshot,
+    },
 }
 
 /// Records handed to the writing thread.
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -60,7 +60,6 @@
     /// Servers that items can go to, and what is known of their load and health.
     pool: ServerPool,
     /// Sends items to servers.
-
     sender: RequestSender,
     journal: Journal,
     /// This store's replicas, by group number.
@@ -203,7 +202,8 @@
             StoreRequest::FetchEntries { epoch, group, after } => {
                 self.fetch_entries(epoch, group, after).await
             }
-            StoreRequest::InstallSnapshot { epoch, group, snapshot: copy } => { self.install_copy(epoch, group, &copy).await
+            StoreRequest::InstallSnapshot { epoch, group, snapshot: copy } => {
+                self.install_copy(epoch, group, &copy).await
             }
             StoreRequest::Counters => StoreReply::Counters(counters::snapshot(
                 self.journal.counters(),
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -229,7 +229,7 @@
         let number = group.0;
         match installed {
             InstallResult::Installed { lost_read: Some(shown) } => log::error!(
-                "group {number}: a copy up to {:?} lacks the entry at {shown:?}, which a reader was shown here: this is a fault of replication, report it with the logs of all stores",
+                "group {number}: a copy up to {:?} lacks the entry at {shown:?}, which was shown here: this is a fault of replication, report it with the logs of all stores",
                 copy.position
             ),
             InstallResult::Installed { lost_read: None } => {
