--- a/crates/gateway/src/peers/log.rs
+++ b/crates/gateway/src/peers/log.rs
@@ -1,8 +1,8 @@
 //! What is logged of the others, at a bounded rate.
 
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::circle::Circle;
-use fennelgauge_membership::view::{Reach, State};
+use fennelgauge_membership::node::MembershipNode;
+use fennelgauge_membership::view::{MemberState, Reachability};
 use tracing::info;
 
 /// Lines on single members within a span; what is beyond is only counted. A fleet of hundreds that is restarted would
@@ -16,29 +16,36 @@
     left_out: usize,
     refused: u64,
     asks: (u64, u64, u64),
-    reach: Reach,
+    reach: Reachability,
 }
 
 impl Log {
     pub fn new(now: Moment) -> Self {
-        Self { began: now, lines: 0, left_out: 0, refused: 0, asks: (0, 0, 0), reach: Reach::Whole }
+        Self {
+            began: now,
+            lines: 0,
+            left_out: 0,
+            refused: 0,
+            asks: (0, 0, 0),
+            reach: Reachability::AllReachable,
+        }
     }
 
     /// Logs what has changed since the last look.
-    pub fn look(&mut self, now: Moment, circle: &mut Circle) {
-        for change in circle.changes() {
+    pub fn look(&mut self, now: Moment, circle: &mut MembershipNode) {
+        for change in circle.take_changes() {
             // Members that are met at the start are no news.
-            if (change.from, change.to) == (State::NeverHeard, State::Present) {
+            if (change.from, change.to) == (MemberState::Unknown, MemberState::Alive) {
                 continue;
             }
             if self.lines < LINES {
                 self.lines += 1;
-                info!(side = "member", number = change.number, from = %change.from, to = %change.to, life = change.life);
+                info!(side = "member", number = change.index, from = %change.from, to = %change.to, life = change.generation);
             } else {
                 self.left_out += 1;
             }
         }
-        let reach = circle.reach(now);
+        let reach = circle.reachability(now);
         if reach != self.reach && self.lines < LINES {
             self.lines += 1;
             info!(side = "member", from = %self.reach, to = %reach, "the fleet as seen from here");
@@ -47,10 +54,10 @@
         if now.since(self.began) < SPAN {
             return;
         }
-        let refused = circle.refused().values().sum();
+        let refused = circle.rejected_datagrams().values().sum();
         if refused > self.refused {
             let reasons: Vec<String> =
-                circle.refused().iter().map(|it| format!("{} {}", it.0, it.1)).collect();
+                circle.rejected_datagrams().iter().map(|it| format!("{} {}", it.0, it.1)).collect();
             info!(
                 side = "member",
                 new = refused - self.refused,
@@ -58,9 +65,9 @@
                 "datagrams dropped"
             );
         }
-        let asks = circle.asks();
+        let asks = circle.query_stats();
         if asks != self.asks {
-            let (held_news, held_counts) = circle.held_back();
+            let (held_news, held_counts) = circle.over_budget();
             info!(
                 side = "member",
                 asked = asks.0,
@@ -69,7 +76,7 @@
                 held_news,
                 held_counts,
                 sent = circle.sent.0,
-                came = circle.came.0,
+                came = circle.received.0,
                 "counts among members"
             );
         }
@@ -81,26 +88,27 @@
 }
 
 /// Logs the whole view, on request.
-pub fn tell(now: Moment, circle: &mut Circle) {
-    let (awake, reach, (differ, longest)) = (circle.awake(now), circle.reach(now), circle.disagreement(now));
+pub fn tell(now: Moment, circle: &mut MembershipNode) {
+    let (awake, reach, (differ, longest)) =
+        (circle.active_time(now), circle.reachability(now), circle.disagreement(now));
     let view = circle.view();
-    for (number, fact) in view.others() {
-        let heard = fact.heard.map_or(-1.0, |heard| awake.since(heard).secs());
-        let since = awake.since(fact.since).secs();
+    for (number, fact) in view.peers() {
+        let heard = fact.last_heard.map_or(-1.0, |heard| awake.since(heard).secs());
+        let since = awake.since(fact.state_since).secs();
         info!(
-            side = "view", number, state = %fact.state, life = fact.life, zone = fact.zone.map_or(-1, i32::from),
-            for_s = since, heard_s = heard, differs = fact.differs.is_some()
+            side = "view", number, state = %fact.state, life = fact.generation, zone = fact.zone.map_or(-1, i32::from),
+            for_s = since, heard_s = heard, differs = fact.view_differs_since.is_some()
         );
     }
-    let (held_news, held_counts) = circle.held_back();
-    let (kept, own) = circle.counts();
+    let (held_news, held_counts) = circle.over_budget();
+    let (kept, own) = circle.count_sizes();
     info!(
-        side = "view", own = view.own, life = circle.life(), reach = %reach,
-        present = view.count(State::Present), suspected = view.count(State::Suspected),
-        failed = view.count(State::Failed), left = view.count(State::Left),
-        never_heard = view.count(State::NeverHeard), differ, longest_s = longest.secs(),
-        slept_s = circle.slept().secs(), sent = circle.sent.0, sent_bytes = circle.sent.1, came = circle.came.0,
+        side = "view", own = view.own_index, life = circle.generation(), reach = %reach,
+        present = view.count_in_state(MemberState::Alive), suspected = view.count_in_state(MemberState::Suspected),
+        failed = view.count_in_state(MemberState::Failed), left = view.count_in_state(MemberState::Left),
+        never_heard = view.count_in_state(MemberState::Unknown), differ, longest_s = longest.secs(),
+        slept_s = circle.paused_time().secs(), sent = circle.sent.0, sent_bytes = circle.sent.1, came = circle.received.0,
         held_news, held_counts, counts_kept = kept, counts_own = own,
-        refused = circle.refused().values().sum::<u64>(), "whole view"
+        refused = circle.rejected_datagrams().values().sum::<u64>(), "whole view"
     );
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -7,10 +7,10 @@
 use fennelgauge::host::ConditionalAdd as Units;
 use fennelgauge::time::Moment;
 use fennelgauge_launch::operator::Membership;
-use fennelgauge_membership::circle::{Circle, Terms};
-use fennelgauge_membership::frame::MOST;
-use fennelgauge_membership::tally::Outcome;
-use fennelgauge_membership::Number;
+use fennelgauge_membership::counting::AddOutcome;
+use fennelgauge_membership::frame::MAX_DATAGRAM_BYTES;
+use fennelgauge_membership::node::{MembershipNode, NodeConfig};
+use fennelgauge_membership::MemberIndex;
 use log::Log;
 use serde_json::Value;
 use std::collections::{HashMap, VecDeque};
@@ -37,10 +37,10 @@
 pub struct Peers {
     socket: Rc<UdpSocket>,
     addresses: Vec<Option<SocketAddr>>,
-    numbers: HashMap<SocketAddr, Number>,
-    circle: Circle,
+    numbers: HashMap<SocketAddr, MemberIndex>,
+    circle: MembershipNode,
     shares: bool,
-    counted: VecDeque<(u64, Outcome)>,
+    counted: VecDeque<(u64, AddOutcome)>,
     log: Log,
 }
 
@@ -72,7 +72,7 @@
                 "the list of peers is out of date"
             );
         }
-        if self.gateways > u32::from(Number::MAX) || self.own >= self.gateways {
+        if self.gateways > u32::from(MemberIndex::MAX) || self.own >= self.gateways {
             return Err(format!("this is gateway {} of {}", self.own, self.gateways));
         }
         let address = |number: u32| {
@@ -108,22 +108,22 @@
                 return None;
             }
         };
-        let terms = Terms {
-            own: wanted.own as Number,
-            of: wanted.gateways as Number,
+        let terms = NodeConfig {
+            own_index: wanted.own as MemberIndex,
+            member_count: wanted.gateways as MemberIndex,
             zone: wanted.zone,
-            mail_per_s: wanted.mail_per_s,
-            counts: wanted.membership.peer_counting,
+            max_datagrams_per_s: wanted.mail_per_s,
+            peer_counting: wanted.membership.peer_counting,
             seed: wanted.seed,
         };
         let numbered = addresses.iter().enumerate();
-        let numbers = numbered.filter_map(|(number, at)| Some(((*at)?, number as Number))).collect();
-        info!(side = "member", %listen, counts = terms.counts, shares = wanted.membership.share_quotas, "membership on");
+        let numbers = numbered.filter_map(|(number, at)| Some(((*at)?, number as MemberIndex))).collect();
+        info!(side = "member", %listen, counts = terms.peer_counting, shares = wanted.membership.share_quotas, "membership on");
         Some(Self {
             socket,
             addresses,
             numbers,
-            circle: Circle::start(now, terms),
+            circle: MembershipNode::start(now, terms),
             shares: wanted.membership.share_quotas,
             counted: VecDeque::new(),
             log: Log::new(now),
@@ -137,13 +137,13 @@
     /// Takes in what has come.
     pub fn read(&mut self, now: Moment) {
         // One byte more shows one that is too long.
-        let mut buffer = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..AT_ONCE {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     let from = self.numbers.get(&from).copied();
                     // What is refused is counted there, and logged with the rest.
-                    let _ = self.circle.take(now, from, &buffer[..length]);
+                    let _ = self.circle.receive(now, from, &buffer[..length]);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // Nothing more; or word of a peer that is not there, which probes tell as well.
@@ -153,17 +153,17 @@
     }
 
     pub fn due(&mut self, now: Moment) {
-        self.circle.due(now);
+        self.circle.run_due(now);
         self.log.look(now, &mut self.circle);
     }
 
     pub fn next(&self, now: Moment) -> Moment {
-        self.circle.next(now)
+        self.circle.next_due_at(now)
     }
 
     /// Sends what is to be sent; what the machine does not take is as if lost on the way.
     pub fn send(&mut self, now: Moment) {
-        for (to, bytes) in self.circle.sends(now) {
+        for (to, bytes) in self.circle.take_datagrams(now) {
             if let Some(Some(address)) = self.addresses.get(usize::from(to)) {
                 let _ = self.socket.send_to(&bytes, address);
             }
@@ -171,24 +171,24 @@
     }
 
     pub fn may_count(&mut self, now: Moment) -> bool {
-        self.circle.may_count(now)
+        self.circle.can_count(now)
     }
 
     pub fn add(&mut self, now: Moment, name: u64, amount: f64, wanted: Units) {
-        self.circle.add(now, name, amount, wanted);
+        self.circle.add_to_count(now, name, amount, wanted);
     }
 
     /// The next total that came, or word that one will not.
-    pub fn counted(&mut self) -> Option<(u64, Outcome)> {
+    pub fn counted(&mut self) -> Option<(u64, AddOutcome)> {
         if self.counted.is_empty() {
-            self.counted.extend(self.circle.results());
+            self.counted.extend(self.circle.take_outcomes());
         }
         self.counted.pop_front()
     }
 
     pub fn sharers(&mut self, now: Moment, first: u32, set_size: f64) -> f64 {
         match self.shares {
-            true => self.circle.parts(now, first, set_size),
+            true => self.circle.quota_sharers(now, first, set_size),
             false => set_size,
         }
     }
--- a/crates/gateway/tests/sockets/members.rs
+++ b/crates/gateway/tests/sockets/members.rs
@@ -2,36 +2,36 @@
 
 use crate::stage::{comes, Stage};
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::circle::{Circle, Terms};
-use fennelgauge_membership::view::State;
-use fennelgauge_membership::Number;
+use fennelgauge_membership::node::{MembershipNode, NodeConfig};
+use fennelgauge_membership::view::MemberState;
+use fennelgauge_membership::MemberIndex;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const GATEWAY: Number = 0;
+const GATEWAY: MemberIndex = 0;
 
 struct Member {
     socket: UdpSocket,
-    circle: Circle,
+    circle: MembershipNode,
     /// How far its clock is ahead.
     ahead: Span,
     /// With whom it can speak.
-    reaches: Vec<Number>,
+    reaches: Vec<MemberIndex>,
 }
 
 impl Member {
-    fn start(number: Number) -> Self {
+    fn start(number: MemberIndex) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_nonblocking(true).unwrap();
-        let terms = Terms {
-            own: number,
-            of: 3,
+        let terms = NodeConfig {
+            own_index: number,
+            member_count: 3,
             zone: Some(0),
-            mail_per_s: 200.0,
-            counts: false,
+            max_datagrams_per_s: 200.0,
+            peer_counting: false,
             seed: number.into(),
         };
-        let circle = Circle::start(clock(Span::ZERO), terms);
+        let circle = MembershipNode::start(clock(Span::ZERO), terms);
         Self { socket, circle, ahead: Span::ZERO, reaches: vec![0, 1, 2] }
     }
 
@@ -39,8 +39,8 @@
         self.socket.local_addr().unwrap()
     }
 
-    fn holds(&self, number: Number) -> State {
-        self.circle.view().fact(number).unwrap().state
+    fn holds(&self, number: MemberIndex) -> MemberState {
+        self.circle.view().status(number).unwrap().state
     }
 
     /// Takes in what came, sees to what is due and sends. A gateway's address shows by its first datagram.
@@ -49,13 +49,13 @@
         while let Ok((length, from)) = self.socket.recv_from(&mut buffer) {
             let known = places.iter().position(|place| *place == Some(from)).unwrap_or(GATEWAY.into());
             places[known] = Some(from);
-            if self.reaches.contains(&(known as Number)) {
-                let _ = self.circle.take(clock(self.ahead), Some(known as Number), &buffer[..length]);
+            if self.reaches.contains(&(known as MemberIndex)) {
+                let _ = self.circle.receive(clock(self.ahead), Some(known as MemberIndex), &buffer[..length]);
             }
         }
         let now = clock(self.ahead);
-        self.circle.due(now);
-        for (to, bytes) in self.circle.sends(now) {
+        self.circle.run_due(now);
+        for (to, bytes) in self.circle.take_datagrams(now) {
             if let Some(place) = places[usize::from(to)].filter(|_| self.reaches.contains(&to)) {
                 self.socket.send_to(&bytes, place).unwrap();
             }
@@ -86,14 +86,14 @@
     let mut places = [None, Some(first), Some(second)];
     assert!(comes(|| {
         [&mut one, &mut two].into_iter().for_each(|it| it.play(&mut places));
-        [one.holds(2), one.holds(0), two.holds(0), two.holds(1)] == [State::Present; 4]
+        [one.holds(2), one.holds(0), two.holds(0), two.holds(1)] == [MemberState::Alive; 4]
     }));
     two.reaches.clear();
     // Only its own time goes on.
     let given_up = (0..600).any(|_| {
         two.ahead = two.ahead + Span::from_millis(100);
         two.play(&mut places);
-        [two.holds(0), two.holds(1)] == [State::Failed; 2]
+        [two.holds(0), two.holds(1)] == [MemberState::Failed; 2]
     });
     assert!(given_up, "{:?}", two.circle.view());
     two.reaches = vec![0];
@@ -106,7 +106,7 @@
         [&mut one, &mut two].into_iter().for_each(|it| it.play(&mut places));
         stage.logged("number=1 from=suspected")
     }));
-    assert_eq!(one.holds(0), State::Present);
+    assert_eq!(one.holds(0), MemberState::Alive);
     let log = stage.log();
     assert!(log.contains("number=1 from=suspected to=present"), "{log}");
     assert!(!log.contains("number=1 from=present to=failed"), "{log}");
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -53,15 +53,15 @@
     Left,
 }
 
-impl From<fennelgauge_membership::view::State> for Held {
-    fn from(state: fennelgauge_membership::view::State) -> Self {
-        use fennelgauge_membership::view::State;
+impl From<fennelgauge_membership::view::MemberState> for Held {
+    fn from(state: fennelgauge_membership::view::MemberState) -> Self {
+        use fennelgauge_membership::view::MemberState;
         match state {
-            State::NeverHeard => Self::NeverHeard,
-            State::Present => Self::Present,
-            State::Suspected => Self::Suspected,
-            State::Failed => Self::Failed,
-            State::Left => Self::Left,
+            MemberState::Unknown => Self::NeverHeard,
+            MemberState::Alive => Self::Present,
+            MemberState::Suspected => Self::Suspected,
+            MemberState::Failed => Self::Failed,
+            MemberState::Left => Self::Left,
         }
     }
 }
--- a/crates/lab/src/run/stage.rs
+++ b/crates/lab/src/run/stage.rs
@@ -102,7 +102,7 @@
     pub fn add(&mut self, bytes: &[u8]) {
         self.datagrams += 1;
         self.bytes += bytes.len() as u64;
-        self.counts += u64::from(fennelgauge_membership::frame::tells_counts(bytes));
+        self.counts += u64::from(fennelgauge_membership::frame::is_count_frame(bytes));
     }
 }
 
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -494,7 +494,7 @@
             self.queue.put(node.looks, Happening::Word(gateway, life, Word::Circle));
         }
         for change in round.changes {
-            let (member, state) = (u32::from(change.number), change.to.into());
+            let (member, state) = (u32::from(change.index), change.to.into());
             self.put(Event::Member { gateway, member, state });
         }
         for (to, bytes) in round.sends {
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -11,8 +11,8 @@
     Arrival, ConditionalAdd, CounterKey, Deployment, Host, JobId, Outcome, RelayEnd, RosterEntry, ServerId,
 };
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::circle::{Circle, Terms};
-use fennelgauge_membership::view::Change;
+use fennelgauge_membership::node::{MembershipNode, NodeConfig};
+use fennelgauge_membership::view::StateChange;
 use rand::RngExt;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,7 +34,7 @@
     now: Rc<Cell<Moment>>,
     tick: Span,
     /// The other gateways, where the scenario switches membership on; and whether shares follow from the view.
-    circle: Rc<RefCell<Option<Circle>>>,
+    circle: Rc<RefCell<Option<MembershipNode>>>,
     shares: bool,
 }
 
@@ -68,17 +68,17 @@
         self.put(Deed::Add(name, (amount * 1e4).round() / 1e4, keep));
     }
     fn peers_can_count(&mut self) -> bool {
-        self.circle.borrow_mut().as_mut().is_some_and(|circle| circle.may_count(self.now.get()))
+        self.circle.borrow_mut().as_mut().is_some_and(|circle| circle.can_count(self.now.get()))
     }
     fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
         if let Some(circle) = self.circle.borrow_mut().as_mut() {
-            circle.add(self.now.get(), name, amount, wanted);
+            circle.add_to_count(self.now.get(), name, amount, wanted);
         }
     }
     fn quota_sharers(&mut self, first: u32, set_size: f64) -> f64 {
         let mut circle = self.circle.borrow_mut();
         let circle = circle.as_mut().filter(|_| self.shares);
-        circle.map_or(set_size, |circle| circle.parts(self.now.get(), first, set_size))
+        circle.map_or(set_size, |circle| circle.quota_sharers(self.now.get(), first, set_size))
     }
     fn subscribe_to_roster(&mut self) {}
 }
@@ -86,7 +86,7 @@
 /// What comes of seeing to a gateway's circle.
 pub struct Round {
     pub sends: Vec<(u32, Vec<u8>)>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<StateChange>,
     pub next: Moment,
 }
 
@@ -159,10 +159,13 @@
         self.desk.now.set(now);
         let seed = of(seed, Use::Gateways, u64::from(self.number) << 20 | u64::from(self.life)).random();
         let circle = self.membership.as_ref().map(|membership| {
-            let (own, of) = (self.number as u16, self.deployment.gateway_count as u16);
+            let (own_index, member_count) = (self.number as u16, self.deployment.gateway_count as u16);
             let Self { zone, .. } = *self;
-            let (mail_per_s, counts) = (membership.mail_per_s, membership.counts);
-            Circle::start(now, Terms { own, of, zone, mail_per_s, counts, seed })
+            let (max_datagrams_per_s, peer_counting) = (membership.mail_per_s, membership.counts);
+            MembershipNode::start(
+                now,
+                NodeConfig { own_index, member_count, zone, max_datagrams_per_s, peer_counting, seed },
+            )
         });
         *self.desk.circle.borrow_mut() = circle;
         self.looks = now;
@@ -236,21 +239,21 @@
     pub fn mail(&mut self, now: Moment, from: u32, bytes: &[u8]) {
         if let Some(circle) = self.desk.circle.borrow_mut().as_mut() {
             // What is refused is counted there.
-            let _ = circle.take(now, Some(from as u16), bytes);
+            let _ = circle.receive(now, Some(from as u16), bytes);
         }
     }
 
     /// Sees to the circle: what is due, what it tells the gateway, what it sends, and when it wants to be seen to next.
     pub fn circle(&mut self, now: Moment) -> Option<Round> {
         self.desk.now.set(now);
-        let due = |circle: &mut Circle| {
-            if circle.next(now) <= now {
-                circle.due(now);
+        let due = |circle: &mut MembershipNode| {
+            if circle.next_due_at(now) <= now {
+                circle.run_due(now);
             }
         };
         self.desk.circle.borrow_mut().as_mut().map(due)?;
         loop {
-            let results = self.desk.circle.borrow_mut().as_mut().map(Circle::results)?;
+            let results = self.desk.circle.borrow_mut().as_mut().map(MembershipNode::take_outcomes)?;
             if results.is_empty() {
                 break;
             }
@@ -260,8 +263,9 @@
         }
         let mut circle = self.desk.circle.borrow_mut();
         let circle = circle.as_mut()?;
-        let sends = circle.sends(now).into_iter().map(|(to, bytes)| (u32::from(to), bytes)).collect();
-        Some(Round { sends, changes: circle.changes(), next: circle.next(now) })
+        let sends =
+            circle.take_datagrams(now).into_iter().map(|(to, bytes)| (u32::from(to), bytes)).collect();
+        Some(Round { sends, changes: circle.take_changes(), next: circle.next_due_at(now) })
     }
 
     pub fn relayed(&mut self, job: JobId, relay: u64) {
--- a/crates/membership/examples/fuzz.rs
+++ b/crates/membership/examples/fuzz.rs
@@ -4,67 +4,75 @@
 //!     cargo run --release -p fennelgauge-membership --example fuzz -- 10000000
 
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::circle::{Circle, Terms};
-use fennelgauge_membership::frame::{Frame, Kind};
+use fennelgauge_membership::frame::{Frame, FrameKind};
+use fennelgauge_membership::node::{MembershipNode, NodeConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 fn main() {
     let inputs = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(100_000_u64);
-    let taken = run(inputs, 1);
-    println!("{inputs} datagrams, {taken} of them taken in, no panic");
+    let accepted = run(inputs, 1);
+    println!("{inputs} datagrams, {accepted} of them taken in, no panic");
 }
 
 /// Returns how many were taken in.
 pub fn run(inputs: u64, seed: u64) -> u64 {
-    const OF: u16 = 20;
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    const MEMBER_COUNT: u16 = 20;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut now = Moment::from_micros(1_700_000_000_000_000);
-    let terms = |own, seed| Terms { own, of: OF, zone: Some(0), mail_per_s: 1e9, counts: true, seed };
-    let mut own = Circle::start(now, terms(0, 1));
-    let mut other = Circle::start(now, terms(1, 2));
-    let (mut genuine, mut taken): (Vec<Vec<u8>>, u64) = (Vec::new(), 0);
+    let config = |own_index, seed| NodeConfig {
+        own_index,
+        member_count: MEMBER_COUNT,
+        zone: Some(0),
+        max_datagrams_per_s: 1e9,
+        peer_counting: true,
+        seed,
+    };
+    let mut own = MembershipNode::start(now, config(0, 1));
+    let mut other = MembershipNode::start(now, config(1, 2));
+    let (mut genuine, mut accepted): (Vec<Vec<u8>>, u64) = (Vec::new(), 0);
     for input in 0..inputs {
-        now = now + Span::from_micros(chance.random_range(0..400));
-        let mut bytes: Vec<u8> = (0..chance.random_range(0..280)).map(|_| chance.random()).collect();
-        let from = chance.random_range(0..OF + 2);
-        let kind = [Kind::Members, Kind::Sums, Kind::Totals][chance.random_range(0..3)];
+        now = now + Span::from_micros(rng.random_range(0..400));
+        let mut bytes: Vec<u8> = (0..rng.random_range(0..280)).map(|_| rng.random()).collect();
+        let from = rng.random_range(0..MEMBER_COUNT + 2);
+        let kind =
+            [FrameKind::Membership, FrameKind::CountUpdates, FrameKind::CountTotals][rng.random_range(0..3)];
         match input % 4 {
             0 => {}
             // Noise that passes for whole.
-            1 => bytes = Frame { kind, body: &bytes }.encode(OF, from),
+            1 => bytes = Frame { kind, body: &bytes }.encode(MEMBER_COUNT, from),
             // A genuine body, spoilt at some places and signed anew.
             _ if !genuine.is_empty() => {
-                let mut body = genuine[chance.random_range(0..genuine.len())].clone();
-                for _ in 0..chance.random_range(0..4) {
-                    if let Some(at) = (!body.is_empty()).then(|| chance.random_range(0..body.len())) {
-                        body[at] = chance.random();
+                let mut body = genuine[rng.random_range(0..genuine.len())].clone();
+                for _ in 0..rng.random_range(0..4) {
+                    if let Some(at) = (!body.is_empty()).then(|| rng.random_range(0..body.len())) {
+                        body[at] = rng.random();
                     }
                 }
-                body.truncate(chance.random_range(0..=body.len()));
-                bytes = Frame { kind, body: &body }.encode(OF, from);
+                body.truncate(rng.random_range(0..=body.len()));
+                bytes = Frame { kind, body: &body }.encode(MEMBER_COUNT, from);
             }
             _ => {}
         }
-        taken += u64::from(own.take(now, Some(from), &bytes).is_ok());
+        accepted += u64::from(own.receive(now, Some(from), &bytes).is_ok());
         if input % 64 == 0 {
-            own.due(now);
-            other.due(now);
-            for (to, bytes) in own.sends(now).into_iter().chain(other.sends(now)) {
-                if let Ok(frame) = Frame::decode(&bytes, OF, if to == 1 { 0 } else { 1 }) {
+            own.run_due(now);
+            other.run_due(now);
+            for (to, bytes) in own.take_datagrams(now).into_iter().chain(other.take_datagrams(now)) {
+                if let Ok(frame) = Frame::decode(&bytes, MEMBER_COUNT, if to == 1 { 0 } else { 1 }) {
                     if genuine.len() < 512 {
                         genuine.push(frame.body.to_vec());
                     }
                 }
                 if to == 0 {
-                    let _ = own.take(now, Some(1), &bytes);
+                    let _ = own.receive(now, Some(1), &bytes);
                 } else if to == 1 {
-                    let _ = other.take(now, Some(0), &bytes);
+                    let _ = other.receive(now, Some(0), &bytes);
                 }
             }
-            own.results();
-            assert!(own.counts().0 <= 40_000);
+            own.take_outcomes();
+            assert!(own.count_sizes().0 <= 40_000);
         }
     }
-    taken
+    accepted
 }
--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -4,54 +4,64 @@
 use fennelgauge::time::{Moment, Span};
 
 /// Looked at this often at least while awake; what is missing beyond it, this limiter slept through.
-pub const BEAT: Span = Span::from_millis(250);
+pub const MAX_ADVANCE: Span = Span::from_millis(250);
 /// So much later than meant is no lateness of a loaded machine any more.
-const LATE: Span = Span::from_millis(250);
+const SCHEDULING_TOLERANCE: Span = Span::from_millis(250);
 /// Awake for so long without a lapse, one lapse is forgotten.
-const MENDS: Span = Span::from_millis(10_000);
+const FORGIVE_AFTER: Span = Span::from_millis(10_000);
 /// More lapses than this are counted no further.
-const MOST_LAPSES: u32 = 4;
+const MAX_PAUSES: u32 = 4;
 
 #[derive(Clone, Debug)]
-pub struct Awake {
-    last: Moment,
-    awake: Moment,
-    lapses: u32,
-    mends: Moment,
+pub struct ActiveClock {
+    last_reading: Moment,
+    active_time: Moment,
+    recent_pauses: u32,
+    forgive_at: Moment,
     /// All time slept through, ever.
-    pub slept: Span,
+    pub total_paused: Span,
 }
 
-impl Awake {
+impl ActiveClock {
     pub fn new(now: Moment) -> Self {
-        Self { last: now, awake: now, lapses: 0, mends: now, slept: Span::ZERO }
+        Self {
+            last_reading: now,
+            active_time: now,
+            recent_pauses: 0,
+            forgive_at: now,
+            total_paused: Span::ZERO,
+        }
     }
 
-    /// The present moment of the time awake; it runs on by [`BEAT`] at most between two looks.
-    pub fn look(&mut self, now: Moment) -> Moment {
-        let passed = now.since(self.last);
-        self.last = now;
-        let slept = if passed > BEAT + LATE { passed.micros() - BEAT.micros() } else { 0 };
-        self.awake = self.awake + Span::from_micros(passed.micros() - slept);
-        if slept > 0 {
-            self.slept = self.slept + Span::from_micros(slept);
-            self.lapses = (self.lapses + 1).min(MOST_LAPSES);
-            self.mends = self.awake + MENDS;
-        } else if self.lapses > 0 && self.awake >= self.mends {
-            self.lapses -= 1;
-            self.mends = self.awake + MENDS;
+    /// The present moment of the time awake; it runs on by [`MAX_ADVANCE`] at most between two looks.
+    pub fn advance(&mut self, now: Moment) -> Moment {
+        let elapsed = now.since(self.last_reading);
+        self.last_reading = now;
+        let paused_us = if elapsed > MAX_ADVANCE + SCHEDULING_TOLERANCE {
+            elapsed.micros() - MAX_ADVANCE.micros()
+        } else {
+            0
+        };
+        self.active_time = self.active_time + Span::from_micros(elapsed.micros() - paused_us);
+        if paused_us > 0 {
+            self.total_paused = self.total_paused + Span::from_micros(paused_us);
+            self.recent_pauses = (self.recent_pauses + 1).min(MAX_PAUSES);
+            self.forgive_at = self.active_time + FORGIVE_AFTER;
+        } else if self.recent_pauses > 0 && self.active_time >= self.forgive_at {
+            self.recent_pauses -= 1;
+            self.forgive_at = self.active_time + FORGIVE_AFTER;
         }
-        self.awake
+        self.active_time
     }
 
     /// How often it slept of late, four at most: whom it suspects gets so many times longer to speak up.
-    pub fn lapses(&self) -> u32 {
-        self.lapses
+    pub fn recent_pauses(&self) -> u32 {
+        self.recent_pauses
     }
 
     /// When a moment of the time awake comes, if nothing is slept through until then.
-    pub fn real(&self, awake: Moment) -> Moment {
-        self.last + awake.since(self.awake)
+    pub fn wall_time(&self, active_time: Moment) -> Moment {
+        self.last_reading + active_time.since(self.active_time)
     }
 }
 
--- a/crates/membership/src/clock/tests.rs
+++ b/crates/membership/src/clock/tests.rs
@@ -3,20 +3,20 @@
 #[test]
 fn what_was_slept_through_does_not_count_and_a_clock_set_back_counts_nothing() {
     let start = Moment::from_micros(50_000_000);
-    let mut awake = Awake::new(start);
+    let mut clock = ActiveClock::new(start);
     for step in 1..=8 {
-        awake.look(start + Span::from_millis(250 * step));
+        clock.advance(start + Span::from_millis(250 * step));
     }
-    assert_eq!(awake.look(start + Span::from_millis(2_000)), start + Span::from_millis(2_000));
+    assert_eq!(clock.advance(start + Span::from_millis(2_000)), start + Span::from_millis(2_000));
     // Stopped for three seconds.
-    assert_eq!(awake.look(start + Span::from_millis(5_250)), start + Span::from_millis(2_250));
-    assert_eq!((awake.lapses(), awake.slept), (1, Span::from_millis(3_000)));
+    assert_eq!(clock.advance(start + Span::from_millis(5_250)), start + Span::from_millis(2_250));
+    assert_eq!((clock.recent_pauses(), clock.total_paused), (1, Span::from_millis(3_000)));
     // Set back by a minute, then on as usual.
     let back = Moment::from_micros(1_000_000);
-    assert_eq!(awake.look(back), start + Span::from_millis(2_250));
-    assert_eq!(awake.look(back + Span::from_millis(100)), start + Span::from_millis(2_350));
+    assert_eq!(clock.advance(back), start + Span::from_millis(2_250));
+    assert_eq!(clock.advance(back + Span::from_millis(100)), start + Span::from_millis(2_350));
     for step in 1..=120 {
-        awake.look(back + Span::from_millis(100 + 100 * step));
+        clock.advance(back + Span::from_millis(100 + 100 * step));
     }
-    assert_eq!(awake.lapses(), 0);
+    assert_eq!(clock.recent_pauses(), 0);
 }
--- a/crates/membership/src/code/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn headers_and_members_come_back_as_they_were() {
-    let one = Identity { number: 299, life: (1 << 48) - 1, zone: 2 };
-    let other = Identity { number: 7, life: 1_764_633_600_000, zone: NO_ZONE };
+    let one = Identity { index: 299, generation: (1 << 48) - 1, zone: 2 };
+    let other = Identity { index: 7, generation: 1_764_633_600_000, zone: NO_ZONE };
     let messages = [
         Message::Ping(255),
         Message::Ack(0),
@@ -21,21 +21,21 @@
     for message in messages {
         let header = Header { src: one, src_incarnation: 513, dst: other, message };
         let mut bytes = Vec::new();
-        Code.encode_header(&header, &mut bytes).unwrap();
-        assert_eq!(Code.decode_header(&bytes[..]).unwrap(), header);
+        IdentityCodec.encode_header(&header, &mut bytes).unwrap();
+        assert_eq!(IdentityCodec.decode_header(&bytes[..]).unwrap(), header);
         for cut in 0..bytes.len() {
-            assert_eq!(Code.decode_header(&bytes[..cut]), Err(Wrong::Short));
+            assert_eq!(IdentityCodec.decode_header(&bytes[..cut]), Err(CodecError::TooShort));
         }
         let mut room = [0_u8; 64];
         let short = bytes.len() - 1;
-        assert_eq!(Code.encode_header(&header, &mut room[..short]), Err(Wrong::Short));
+        assert_eq!(IdentityCodec.encode_header(&header, &mut room[..short]), Err(CodecError::TooShort));
     }
     for state in [State::Alive, State::Suspect, State::Down] {
         let member = Member::new(one, 9, state);
         let mut bytes = Vec::new();
-        Code.encode_member(&member, &mut bytes).unwrap();
-        assert_eq!((Code.decode_member(&bytes[..]).unwrap(), bytes.len()), (member, MEMBER));
-        bytes[MEMBER - 1] = 9;
-        assert_eq!(Code.decode_member(&bytes[..]), Err(Wrong::Tag(9)));
+        IdentityCodec.encode_member(&member, &mut bytes).unwrap();
+        assert_eq!((IdentityCodec.decode_member(&bytes[..]).unwrap(), bytes.len()), (member, MEMBER_BYTES));
+        bytes[MEMBER_BYTES - 1] = 9;
+        assert_eq!(IdentityCodec.decode_member(&bytes[..]), Err(CodecError::UnknownTag(9)));
     }
 }
--- a/crates/membership/src/members/tests.rs
+++ b/crates/membership/src/members/tests.rs
@@ -2,50 +2,54 @@
 use foca::{Codec, Header, Member, Message};
 
 const NOW: Moment = Moment::from_micros(1_700_000_000_000_000);
-const LIFE: u64 = 1_700_000_000_000;
+const GENERATION: u64 = 1_700_000_000_000;
 
-fn identity(number: Number, life: u64) -> Identity {
-    Identity { number, life, zone: 0 }
+fn identity(index: MemberIndex, generation: u64) -> Identity {
+    Identity { index, generation, zone: 0 }
 }
 
 /// A datagram's content as member 1 sends it, with what it tells of others.
-fn from_1(to: Identity, message: Message<Identity>, told: &[Member<Identity>]) -> Vec<u8> {
-    let mut body = vec![0; DIGEST];
-    let header = Header { src: identity(1, LIFE), src_incarnation: 0, dst: to, message };
-    Code.encode_header(&header, &mut body).unwrap();
-    body.extend((told.len() as u16).to_be_bytes());
-    told.iter().for_each(|member| Code.encode_member(member, &mut body).unwrap());
+fn from_1(to: Identity, message: Message<Identity>, listed: &[Member<Identity>]) -> Vec<u8> {
+    let mut body = vec![0; DIGEST_BYTES];
+    let header = Header { src: identity(1, GENERATION), src_incarnation: 0, dst: to, message };
+    IdentityCodec.encode_header(&header, &mut body).unwrap();
+    body.extend((listed.len() as u16).to_be_bytes());
+    listed.iter().for_each(|member| IdentityCodec.encode_member(member, &mut body).unwrap());
     body
 }
 
 /// Member 0 of four, to which 1 has told of 2.
 fn met() -> Members {
     let mut members = Members::start(NOW, 0, 4, Some(0), 7);
-    let alive = Member::alive(identity(2, LIFE));
-    members.heard(NOW, 1, &from_1(members.identity(), Message::Gossip, &[alive])).unwrap();
-    members.sends();
+    let alive = Member::alive(identity(2, GENERATION));
+    members.receive(NOW, 1, &from_1(members.identity(), Message::Gossip, &[alive])).unwrap();
+    members.take_datagrams();
     members
 }
 
-fn state(members: &Members, number: Number) -> State {
-    members.view().fact(number).unwrap().state
+fn state(members: &Members, index: MemberIndex) -> MemberState {
+    members.view().status(index).unwrap().state
 }
 
 /// What it sends to member 1, by the messages' headers.
 fn to_1(members: &mut Members) -> Vec<Header<Identity>> {
-    let sends = members.sends().into_iter().filter(|(to, _)| *to == 1);
-    sends.map(|(_, body)| Code.decode_header(&body[DIGEST..]).unwrap()).collect()
+    let sends = members.take_datagrams().into_iter().filter(|(to, _)| *to == 1);
+    sends.map(|(_, body)| IdentityCodec.decode_header(&body[DIGEST_BYTES..]).unwrap()).collect()
 }
 
 #[test]
 fn a_datagram_for_a_former_life_is_answered_by_the_present_one() {
     let mut members = met();
     let own = members.identity();
-    let ping = from_1(identity(0, own.life - 1), Message::Ping(3), &[]);
-    members.heard(NOW, 1, &ping).unwrap();
-    assert!(to_1(&mut members).iter().any(|header| header.src == own && header.dst == identity(1, LIFE)));
+    let ping = from_1(identity(0, own.generation - 1), Message::Ping(3), &[]);
+    members.receive(NOW, 1, &ping).unwrap();
+    assert!(to_1(&mut members)
+        .iter()
+        .any(|header| header.src == own && header.dst == identity(1, GENERATION)));
     // One that speaks to whoever is there is answered as before, and once.
-    members.heard(NOW, 1, &from_1(Identity::anybody(0), Message::Announce, &[])[..DIGEST + 21]).unwrap();
+    members
+        .receive(NOW, 1, &from_1(Identity::any_generation(0), Message::Announce, &[])[..DIGEST_BYTES + 21])
+        .unwrap();
     let answers = to_1(&mut members);
     assert!(answers.len() == 1 && answers[0].message == Message::Feed, "{answers:?}");
 }
@@ -54,36 +58,36 @@
 fn word_of_a_failure_is_final_only_when_the_time_to_speak_up_is_over_here_too() {
     let mut members = met();
     let own = members.identity();
-    let failed = |number| from_1(own, Message::Gossip, &[Member::down(identity(number, LIFE))]);
-    members.heard(NOW, 1, &failed(2)).unwrap();
-    assert_eq!(state(&members, 2), State::Suspected);
+    let failed = |index| from_1(own, Message::Gossip, &[Member::down(identity(index, GENERATION))]);
+    members.receive(NOW, 1, &failed(2)).unwrap();
+    assert_eq!(state(&members, 2), MemberState::Suspected);
     // Its time to speak up has begun just now: the same word again says no more.
     let awake = |members: &mut Members, from: Span, to: Span| {
-        let beats = from.micros() / BEAT.micros()..=to.micros() / BEAT.micros();
-        beats.for_each(|beat| _ = members.awake(NOW + Span::from_micros(beat * BEAT.micros())));
+        let beats = from.micros() / MAX_ADVANCE.micros()..=to.micros() / MAX_ADVANCE.micros();
+        beats.for_each(|beat| _ = members.active_time(NOW + Span::from_micros(beat * MAX_ADVANCE.micros())));
     };
     awake(&mut members, Span::ZERO, Span::from_millis(2_750));
-    members.heard(NOW + Span::from_millis(2_750), 1, &failed(2)).unwrap();
-    assert_eq!(state(&members, 2), State::Suspected);
+    members.receive(NOW + Span::from_millis(2_750), 1, &failed(2)).unwrap();
+    assert_eq!(state(&members, 2), MemberState::Suspected);
     awake(&mut members, Span::from_millis(2_750), Span::from_millis(3_250));
-    members.heard(NOW + Span::from_millis(3_250), 1, &failed(2)).unwrap();
-    assert_eq!(state(&members, 2), State::Failed);
+    members.receive(NOW + Span::from_millis(3_250), 1, &failed(2)).unwrap();
+    assert_eq!(state(&members, 2), MemberState::Failed);
 }
 
 #[test]
 fn one_that_says_itself_that_it_goes_or_is_said_to_have_left_is_not_suspected() {
     let mut members = met();
     let own = members.identity();
-    let goes = from_1(own, Message::Gossip, &[Member::down(identity(1, LIFE))]);
-    members.heard(NOW, 1, &goes).unwrap();
-    assert_eq!(state(&members, 1), State::Failed);
+    let goes = from_1(own, Message::Gossip, &[Member::down(identity(1, GENERATION))]);
+    members.receive(NOW, 1, &goes).unwrap();
+    assert_eq!(state(&members, 1), MemberState::Failed);
     let mut members = met();
     let mut left = from_1(own, Message::Gossip, &[]);
-    let parting = Parting { number: 2, life: LIFE }.encode();
-    left.extend((parting.len() as u16).to_be_bytes());
-    left.extend(parting);
-    members.heard(NOW, 1, &left).unwrap();
-    assert_eq!(state(&members, 2), State::Left);
-    members.heard(NOW, 1, &from_1(own, Message::Gossip, &[Member::down(identity(2, LIFE))])).unwrap();
-    assert_eq!((state(&members, 2), members.suspicions.len()), (State::Left, 0));
+    let departure = Departure { index: 2, generation: GENERATION }.encode();
+    left.extend((departure.len() as u16).to_be_bytes());
+    left.extend(departure);
+    members.receive(NOW, 1, &left).unwrap();
+    assert_eq!(state(&members, 2), MemberState::Left);
+    members.receive(NOW, 1, &from_1(own, Message::Gossip, &[Member::down(identity(2, GENERATION))])).unwrap();
+    assert_eq!((state(&members, 2), members.suspicions.len()), (MemberState::Left, 0));
 }
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -5,54 +5,56 @@
 //! goes on with its share when it goes on. What may be exceeded at a price (quotas judged alone) may take over failed
 //! members' shares, within a bound stated in advance.
 
-use crate::view::{State, View};
-use crate::Number;
+use crate::view::{MemberState, MembershipView};
+use crate::MemberIndex;
 use fennelgauge::time::{Moment, Span};
 
 /// A member has to stay failed for so long before its share is taken over: two probes' time, in which one that was
 /// only slow has spoken up. Given back at once.
-const SURE: Span = Span::from_millis(2_000);
+const TAKEOVER_DELAY: Span = Span::from_millis(2_000);
 /// Shares grow by this factor at most.
-pub const MOST_GROWTH: f64 = 2.0;
+pub const MAX_SHARE_GROWTH: f64 = 2.0;
 
 /// The share of what must never be exceeded: in every partition, with any views, all in use sum to the whole at most.
-pub fn strict(of: Number) -> f64 {
-    1.0 / f64::from(of.max(1))
+pub fn strict_share(member_count: MemberIndex) -> f64 {
+    1.0 / f64::from(member_count.max(1))
 }
 
-/// Among how many the quota of a customer is shared, whose set begins at `first` and has `size` members, counted
-/// round; `now` is of the time awake. Fewer than `size` only where more than half of the fleet may be working:
+/// Among how many the quota of a customer is shared, whose set begins at `first` and has `set_size` members, counted
+/// round; `now` is of the time awake. Fewer than `set_size` only where more than half of the fleet may be working:
 /// whoever sees less than that is likelier the one that is cut off.
-pub fn parts(view: &View, now: Moment, first: u32, size: f64) -> f64 {
-    let of = view.facts().len();
-    if of == 0 || size < 2.0 {
-        return size;
+pub fn quota_sharers(view: &MembershipView, now: Moment, first: u32, set_size: f64) -> f64 {
+    let member_count = view.statuses().len();
+    if member_count == 0 || set_size < 2.0 {
+        return set_size;
     }
-    let gone = |fact: &crate::view::Fact| match fact.state {
-        State::Left => true,
-        State::Failed => now.since(fact.since) >= SURE,
+    let is_gone = |status: &crate::view::MemberStatus| match status.state {
+        MemberState::Left => true,
+        MemberState::Failed => now.since(status.state_since) >= TAKEOVER_DELAY,
         _ => false,
     };
-    let missing = view.others().filter(|(_, fact)| gone(fact)).count();
-    if missing == 0 || (of - missing) * 2 <= of {
-        return size;
+    let gone_count = view.peers().filter(|(_, status)| is_gone(status)).count();
+    if gone_count == 0 || (member_count - gone_count) * 2 <= member_count {
+        return set_size;
     }
-    let set = (0..size as usize).map(|step| (first as usize + step) % of);
-    let working = set
-        .filter(|number| *number == usize::from(view.own) || !view.facts().get(*number).is_some_and(gone))
+    let set = (0..set_size as usize).map(|step| (first as usize + step) % member_count);
+    let remaining = set
+        .filter(|index| {
+            *index == usize::from(view.own_index) || !view.statuses().get(*index).is_some_and(is_gone)
+        })
         .count();
-    (working as f64).max(size / MOST_GROWTH).max(1.0)
+    (remaining as f64).max(set_size / MAX_SHARE_GROWTH).max(1.0)
 }
 
-/// The greatest overrun of a quota by shares alone, as a part of it, with any views whatever: each of the `size`
-/// members takes `MOST_GROWTH / size` at most.
-pub fn greatest_overrun() -> f64 {
-    MOST_GROWTH - 1.0
+/// The greatest overrun of a quota by shares alone, as a part of it, with any views whatever: each of the `set_size`
+/// members takes `MAX_SHARE_GROWTH / set_size` at most.
+pub fn max_overrun() -> f64 {
+    MAX_SHARE_GROWTH - 1.0
 }
 
-/// The same where the fleet falls into parts that each see themselves alone, `larger` being the part of the set on the
+/// The same where the fleet falls into parts that each see themselves alone, `larger_side` being the part of the set on the
 /// side that has more than half of the fleet: that side takes the whole at most, the others keep their even shares.
-pub fn overrun_in_partition(larger: f64) -> f64 {
-    let larger = larger.clamp(0.0, 1.0);
-    ((larger * MOST_GROWTH).min(1.0) + (1.0 - larger) - 1.0).max(0.0)
+pub fn max_partition_overrun(larger_side: f64) -> f64 {
+    let larger_side = larger_side.clamp(0.0, 1.0);
+    ((larger_side * MAX_SHARE_GROWTH).min(1.0) + (1.0 - larger_side) - 1.0).max(0.0)
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,7 +1,7 @@
 //! What a limiter holds of the others, how old each fact is, and what the whole looks like from here.
 
 use crate::identity::NO_ZONE;
-use crate::Number;
+use crate::MemberIndex;
 use fennelgauge::time::{Moment, Span};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,11 +9,11 @@
 use std::hash::{Hash, Hasher};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// Nobody has told of it yet.
     #[default]
-    NeverHeard,
-    Present,
+    Unknown,
+    Alive,
     /// It did not answer, neither this limiter nor those asked to try; it may still speak up.
     Suspected,
     Failed,
@@ -21,18 +21,18 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// It may be working.
-    pub fn may_work(self) -> bool {
+    pub fn may_be_alive(self) -> bool {
         !matches!(self, Self::Failed | Self::Left)
     }
 }
 
-impl Display for State {
+impl Display for MemberState {
     fn fmt(&self, out: &mut Formatter<'_>) -> std::fmt::Result {
         out.write_str(match self {
-            Self::NeverHeard => "never heard",
-            Self::Present => "present",
+            Self::Unknown => "never heard",
+            Self::Alive => "present",
             Self::Suspected => "suspected",
             Self::Failed => "failed",
             Self::Left => "left",
@@ -42,182 +42,191 @@
 
 /// What is known of one member; moments are of the time awake.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fact {
-    pub state: State,
+pub struct MemberStatus {
+    pub state: MemberState,
     /// The life that this is of, in milliseconds of Unix time.
-    pub life: u64,
+    pub generation: u64,
     /// Its place among the zones, where it told one.
     pub zone: Option<u8>,
     /// Since when it is in this state.
-    pub since: Moment,
+    pub state_since: Moment,
     /// The last datagram that came from itself.
-    pub heard: Option<Moment>,
+    pub last_heard: Option<Moment>,
     /// Since when its view differs from this one.
-    pub differs: Option<Moment>,
+    pub view_differs_since: Option<Moment>,
 }
 
 /// How the fleet looks from here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// Nobody that was ever heard of is missing.
-    Whole,
+    AllReachable,
     /// Some members failed, and no site as a whole.
-    Failed(Vec<Number>),
+    MembersFailed(Vec<MemberIndex>),
     /// All members of these sites are missing, and others of theirs are not: the sites are lost or cut off.
-    Sites(Vec<u8>),
+    ZonesLost(Vec<u8>),
     /// All other sites are missing at once: this site is the one that is cut off, or the only one left.
-    OwnSite,
+    OwnZoneIsolated,
     /// Nobody is heard any more: it is this limiter that is cut off.
-    CutOff,
+    Isolated,
 }
 
-impl Display for Reach {
+impl Display for Reachability {
     fn fmt(&self, out: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Whole => out.write_str("whole"),
-            Self::Failed(who) => write!(out, "{} failed", who.len()),
-            Self::Sites(which) => write!(out, "sites {which:?} lost or cut off"),
-            Self::OwnSite => out.write_str("this site is cut off or alone"),
-            Self::CutOff => out.write_str("this limiter is cut off"),
+            Self::AllReachable => out.write_str("whole"),
+            Self::MembersFailed(members) => write!(out, "{} failed", members.len()),
+            Self::ZonesLost(zones) => write!(out, "sites {zones:?} lost or cut off"),
+            Self::OwnZoneIsolated => out.write_str("this site is cut off or alone"),
+            Self::Isolated => out.write_str("this limiter is cut off"),
         }
     }
 }
 
 /// A change, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
-    pub number: Number,
-    pub from: State,
-    pub to: State,
-    pub life: u64,
+pub struct StateChange {
+    pub index: MemberIndex,
+    pub from: MemberState,
+    pub to: MemberState,
+    pub generation: u64,
 }
 
 /// Where nobody at all is heard for so long, it is not the others: probes go out every second, to somebody else each.
-const ALONE: Span = Span::from_millis(4_000);
+const ISOLATION_TIMEOUT: Span = Span::from_millis(4_000);
 
 #[derive(Clone, Debug)]
-pub struct View {
-    pub own: Number,
+pub struct MembershipView {
+    pub own_index: MemberIndex,
     pub own_zone: u8,
-    facts: Vec<Fact>,
-    changes: Vec<Change>,
+    statuses: Vec<MemberStatus>,
+    changes: Vec<StateChange>,
 }
 
-impl View {
-    pub fn new(own: Number, own_zone: u8, of: Number, now: Moment) -> Self {
-        let fact = Fact { since: now, ..Fact::default() };
-        Self { own, own_zone, facts: vec![fact; usize::from(of)], changes: Vec::new() }
+impl MembershipView {
+    pub fn new(own_index: MemberIndex, own_zone: u8, member_count: MemberIndex, now: Moment) -> Self {
+        let status = MemberStatus { state_since: now, ..MemberStatus::default() };
+        Self { own_index, own_zone, statuses: vec![status; usize::from(member_count)], changes: Vec::new() }
     }
 
     /// By number; this limiter's own stands among them and says nothing.
-    pub fn facts(&self) -> &[Fact] {
-        &self.facts
+    pub fn statuses(&self) -> &[MemberStatus] {
+        &self.statuses
     }
 
-    pub fn fact(&self, number: Number) -> Option<&Fact> {
-        self.facts.get(usize::from(number))
+    pub fn status(&self, index: MemberIndex) -> Option<&MemberStatus> {
+        self.statuses.get(usize::from(index))
     }
 
     /// The others, with what is known of them.
-    pub fn others(&self) -> impl Iterator<Item = (Number, &Fact)> {
-        let own = self.own;
-        self.facts.iter().enumerate().map(|(at, fact)| (at as Number, fact)).filter(move |it| it.0 != own)
+    pub fn peers(&self) -> impl Iterator<Item = (MemberIndex, &MemberStatus)> {
+        let own_index = self.own_index;
+        self.statuses
+            .iter()
+            .enumerate()
+            .map(|(at, status)| (at as MemberIndex, status))
+            .filter(move |it| it.0 != own_index)
     }
 
-    pub fn count(&self, state: State) -> usize {
-        self.others().filter(|(_, fact)| fact.state == state).count()
+    pub fn count_in_state(&self, state: MemberState) -> usize {
+        self.peers().filter(|(_, status)| status.state == state).count()
     }
 
     /// Of what life and state a member is; a zone is kept where none is told.
-    pub fn set(&mut self, number: Number, state: State, life: u64, zone: u8, now: Moment) {
-        let Some(fact) = self.facts.get_mut(usize::from(number)).filter(|_| number != self.own) else {
+    pub fn update(&mut self, index: MemberIndex, state: MemberState, generation: u64, zone: u8, now: Moment) {
+        let Some(status) = self.statuses.get_mut(usize::from(index)).filter(|_| index != self.own_index)
+        else {
             return;
         };
         if zone != NO_ZONE {
-            fact.zone = Some(zone);
+            status.zone = Some(zone);
         }
-        if (fact.state, fact.life) == (state, life) {
+        if (status.state, status.generation) == (state, generation) {
             return;
         }
-        self.changes.push(Change { number, from: fact.state, to: state, life });
-        if fact.state != state {
-            fact.since = now;
+        self.changes.push(StateChange { index, from: status.state, to: state, generation });
+        if status.state != state {
+            status.state_since = now;
         }
-        (fact.state, fact.life) = (state, life);
+        (status.state, status.generation) = (state, generation);
     }
 
     /// A datagram came from it.
-    pub fn seen(&mut self, number: Number, now: Moment) {
-        let fact = self.facts.get_mut(usize::from(number)).filter(|fact| fact.state != State::NeverHeard);
-        if let Some(fact) = fact {
-            fact.heard = Some(now);
+    pub fn record_datagram(&mut self, index: MemberIndex, now: Moment) {
+        let status =
+            self.statuses.get_mut(usize::from(index)).filter(|status| status.state != MemberState::Unknown);
+        if let Some(status) = status {
+            status.last_heard = Some(now);
         }
     }
 
     /// A datagram came from it that told its view.
-    pub fn heard(&mut self, number: Number, now: Moment, digest: u32) {
-        let same = digest == self.digest();
-        let Some(fact) = self.facts.get_mut(usize::from(number)) else { return };
-        fact.heard = Some(now);
-        fact.differs = if same { None } else { fact.differs.or(Some(now)) };
+    pub fn record_view_digest(&mut self, index: MemberIndex, now: Moment, digest: u32) {
+        let matches_own = digest == self.digest();
+        let Some(status) = self.statuses.get_mut(usize::from(index)) else { return };
+        status.last_heard = Some(now);
+        status.view_differs_since = if matches_own { None } else { status.view_differs_since.or(Some(now)) };
     }
 
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Sums up who is taken to be there, this limiter included: two views that agree have the same digest.
     pub fn digest(&self) -> u32 {
-        self.facts.iter().enumerate().fold(0, |sum, (number, fact)| {
-            let there =
-                number == usize::from(self.own) || matches!(fact.state, State::Present | State::Suspected);
+        self.statuses.iter().enumerate().fold(0, |sum, (index, status)| {
+            let is_alive = index == usize::from(self.own_index)
+                || matches!(status.state, MemberState::Alive | MemberState::Suspected);
             let mut hasher = DefaultHasher::new();
-            (number, there).hash(&mut hasher);
-            sum ^ if there { hasher.finish() as u32 } else { 0 }
+            (index, is_alive).hash(&mut hasher);
+            sum ^ if is_alive { hasher.finish() as u32 } else { 0 }
         })
     }
 
     /// How many members of late held another view, and for how long one of them has.
     pub fn disagreement(&self, now: Moment) -> (usize, Span) {
-        let differing = self.others().filter(|(_, fact)| fact.state == State::Present);
-        let differing: Vec<Moment> = differing.filter_map(|(_, fact)| fact.differs).collect();
+        let differing = self.peers().filter(|(_, status)| status.state == MemberState::Alive);
+        let differing: Vec<Moment> = differing.filter_map(|(_, status)| status.view_differs_since).collect();
         let longest = differing.iter().map(|since| now.since(*since)).max().unwrap_or(Span::ZERO);
         (differing.len(), longest)
     }
 
-    pub fn reach(&self, now: Moment) -> Reach {
-        let known: Vec<(Number, &Fact)> =
-            self.others().filter(|(_, fact)| fact.state != State::NeverHeard).collect();
+    pub fn reachability(&self, now: Moment) -> Reachability {
+        let known: Vec<(MemberIndex, &MemberStatus)> =
+            self.peers().filter(|(_, status)| status.state != MemberState::Unknown).collect();
         // One that has left, said so: it is missed by nobody.
-        let missing: BTreeSet<Number> =
-            known.iter().filter(|(_, fact)| fact.state == State::Failed).map(|it| it.0).collect();
-        let working = known.iter().filter(|(_, fact)| fact.state.may_work());
-        let last = working.clone().filter_map(|(_, fact)| fact.heard).max();
-        let silent = last.is_none_or(|last| now.since(last) > ALONE);
-        if working.clone().count() + missing.len() >= 2 && (silent || working.count() == 0) {
-            return Reach::CutOff;
+        let failed: BTreeSet<MemberIndex> =
+            known.iter().filter(|(_, status)| status.state == MemberState::Failed).map(|it| it.0).collect();
+        let possibly_alive = known.iter().filter(|(_, status)| status.state.may_be_alive());
+        let last_heard = possibly_alive.clone().filter_map(|(_, status)| status.last_heard).max();
+        let silent = last_heard.is_none_or(|heard| now.since(heard) > ISOLATION_TIMEOUT);
+        if possibly_alive.clone().count() + failed.len() >= 2 && (silent || possibly_alive.count() == 0) {
+            return Reachability::Isolated;
         }
-        if missing.is_empty() {
-            return Reach::Whole;
+        if failed.is_empty() {
+            return Reachability::AllReachable;
         }
         // By zone: how many are known there, and how many of them are missing.
         let mut zones: BTreeMap<u8, (usize, usize)> = BTreeMap::new();
-        for (number, fact) in known.iter().filter(|(_, fact)| fact.state != State::Left) {
-            let Some(zone) = fact.zone else { continue };
-            let of = zones.entry(zone).or_default();
-            of.0 += 1;
-            of.1 += usize::from(missing.contains(number));
+        for (index, status) in known.iter().filter(|(_, status)| status.state != MemberState::Left) {
+            let Some(zone) = status.zone else { continue };
+            let counts = zones.entry(zone).or_default();
+            counts.0 += 1;
+            counts.1 += usize::from(failed.contains(index));
         }
         zones.remove(&self.own_zone);
-        let lost: Vec<u8> =
-            zones.iter().filter(|(_, of)| of.0 >= 2 && of.0 == of.1).map(|it| *it.0).collect();
-        if lost.is_empty() {
-            return Reach::Failed(missing.into_iter().collect());
+        let lost_zones: Vec<u8> = zones
+            .iter()
+            .filter(|(_, counts)| counts.0 >= 2 && counts.0 == counts.1)
+            .map(|it| *it.0)
+            .collect();
+        if lost_zones.is_empty() {
+            return Reachability::MembersFailed(failed.into_iter().collect());
         }
-        if lost.len() == zones.len() && lost.len() >= 2 {
-            return Reach::OwnSite;
+        if lost_zones.len() == zones.len() && lost_zones.len() >= 2 {
+            return Reachability::OwnZoneIsolated;
         }
-        Reach::Sites(lost)
+        Reachability::ZonesLost(lost_zones)
     }
 }
 
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -3,67 +3,67 @@
 const NOW: Moment = Moment::from_micros(60_000_000);
 
 /// Twelve in three zones, all present and just heard.
-fn view() -> View {
-    let mut view = View::new(0, 0, 12, NOW);
-    for number in 1..12 {
-        view.set(number, State::Present, 5, (number % 3) as u8, NOW);
-        view.heard(number, NOW, 0);
+fn view() -> MembershipView {
+    let mut view = MembershipView::new(0, 0, 12, NOW);
+    for index in 1..12 {
+        view.update(index, MemberState::Alive, 5, (index % 3) as u8, NOW);
+        view.record_view_digest(index, NOW, 0);
     }
     view
 }
 
-fn failed(view: &mut View, which: impl Fn(Number) -> bool) {
+fn failed(view: &mut MembershipView, which: impl Fn(MemberIndex) -> bool) {
     (1..12)
-        .filter(|number| which(*number))
-        .for_each(|number| view.set(number, State::Failed, 5, NO_ZONE, NOW));
+        .filter(|index| which(*index))
+        .for_each(|index| view.update(index, MemberState::Failed, 5, NO_ZONE, NOW));
 }
 
 #[test]
 fn failed_members_a_lost_site_an_own_cut_and_loneliness_are_told_apart() {
     let mut some = view();
-    assert_eq!(some.reach(NOW), Reach::Whole);
-    failed(&mut some, |number| number == 4 || number == 5);
-    assert_eq!(some.reach(NOW), Reach::Failed(vec![4, 5]));
+    assert_eq!(some.reachability(NOW), Reachability::AllReachable);
+    failed(&mut some, |index| index == 4 || index == 5);
+    assert_eq!(some.reachability(NOW), Reachability::MembersFailed(vec![4, 5]));
     let mut site = view();
-    failed(&mut site, |number| number % 3 == 2);
-    assert_eq!(site.reach(NOW), Reach::Sites(vec![2]));
+    failed(&mut site, |index| index % 3 == 2);
+    assert_eq!(site.reachability(NOW), Reachability::ZonesLost(vec![2]));
     let mut own = view();
-    failed(&mut own, |number| number % 3 != 0);
-    assert_eq!(own.reach(NOW), Reach::OwnSite);
+    failed(&mut own, |index| index % 3 != 0);
+    assert_eq!(own.reachability(NOW), Reachability::OwnZoneIsolated);
     let mut alone = view();
     failed(&mut alone, |_| true);
-    assert_eq!(alone.reach(NOW), Reach::CutOff);
+    assert_eq!(alone.reachability(NOW), Reachability::Isolated);
     // Cut off just now: nobody is failed yet, and nobody is heard.
-    assert_eq!(view().reach(NOW + Span::from_millis(4_001)), Reach::CutOff);
+    assert_eq!(view().reachability(NOW + Span::from_millis(4_001)), Reachability::Isolated);
     let mut left = view();
-    (1..12).for_each(|number| left.set(number, State::Left, 5, NO_ZONE, NOW));
-    assert_eq!(left.reach(NOW), Reach::Whole);
+    (1..12).for_each(|index| left.update(index, MemberState::Left, 5, NO_ZONE, NOW));
+    assert_eq!(left.reachability(NOW), Reachability::AllReachable);
     // In one zone alone nothing can be said of sites.
-    let mut flat = View::new(0, 0, 6, NOW);
-    (1..6).for_each(|number| {
-        flat.set(number, if number < 4 { State::Failed } else { State::Present }, 1, 0, NOW);
-        flat.heard(number, NOW, 0);
+    let mut flat = MembershipView::new(0, 0, 6, NOW);
+    (1..6).for_each(|index| {
+        flat.update(index, if index < 4 { MemberState::Failed } else { MemberState::Alive }, 1, 0, NOW);
+        flat.record_view_digest(index, NOW, 0);
     });
-    assert_eq!(flat.reach(NOW), Reach::Failed(vec![1, 2, 3]));
+    assert_eq!(flat.reachability(NOW), Reachability::MembersFailed(vec![1, 2, 3]));
 }
 
 #[test]
 fn views_that_differ_find_out_and_for_how_long() {
     let (mut a, mut b) = (view(), view());
-    b.own = 0;
+    b.own_index = 0;
     assert_eq!(a.digest(), b.digest());
-    b.set(3, State::Suspected, 5, NO_ZONE, NOW);
+    b.update(3, MemberState::Suspected, 5, NO_ZONE, NOW);
     assert_eq!(a.digest(), b.digest());
-    failed(&mut b, |number| number == 3);
+    failed(&mut b, |index| index == 3);
     assert_ne!(a.digest(), b.digest());
-    for number in 1..12 {
-        a.heard(number, NOW, a.digest());
+    for index in 1..12 {
+        a.record_view_digest(index, NOW, a.digest());
     }
     let later = NOW + Span::from_millis(700);
-    a.heard(7, NOW, b.digest());
-    a.heard(7, later, b.digest());
+    a.record_view_digest(7, NOW, b.digest());
+    a.record_view_digest(7, later, b.digest());
     assert_eq!(a.disagreement(later), (1, Span::from_millis(700)));
-    a.heard(7, later, a.digest());
+    a.record_view_digest(7, later, a.digest());
     assert_eq!(a.disagreement(later), (0, Span::ZERO));
     let changes = b.take_changes();
     assert_eq!(changes.len(), 13);
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -3,11 +3,11 @@
 
 use fennelgauge::host::ConditionalAdd;
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::circle::{Circle, Terms};
-use fennelgauge_membership::frame::{Frame, Kind, Refused, MOST};
+use fennelgauge_membership::frame::{Frame, FrameKind, RejectReason, MAX_DATAGRAM_BYTES};
+use fennelgauge_membership::node::{MembershipNode, NodeConfig};
 use fennelgauge_membership::shares;
-use fennelgauge_membership::view::{Reach, State};
-use fennelgauge_membership::Number;
+use fennelgauge_membership::view::{MemberState, Reachability};
+use fennelgauge_membership::MemberIndex;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,89 +16,89 @@
 const STEP: Span = Span::from_millis(5);
 
 struct Fleet {
-    circles: Vec<Option<Circle>>,
+    nodes: Vec<Option<MembershipNode>>,
     /// Stopped: neither reads nor is woken; what comes waits.
-    stopped: BTreeSet<Number>,
-    waits: Vec<Vec<(Number, Vec<u8>)>>,
+    stopped: BTreeSet<MemberIndex>,
+    inboxes: Vec<Vec<(MemberIndex, Vec<u8>)>>,
     /// One way from the first to the second nothing passes.
-    cut: BTreeSet<(Number, Number)>,
+    cut: BTreeSet<(MemberIndex, MemberIndex)>,
     loss: f64,
-    doubled: f64,
-    most_delay_ms: u64,
-    air: BTreeMap<(Moment, u64), (Number, Number, Vec<u8>)>,
-    numbered: u64,
+    duplication: f64,
+    max_delay_ms: u64,
+    in_flight: BTreeMap<(Moment, u64), (MemberIndex, MemberIndex, Vec<u8>)>,
+    next_datagram_id: u64,
     now: Moment,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     zones: u16,
     /// Whoever was held to be failed, by whom, and when.
-    accused: Vec<(Moment, Number, Number)>,
+    failure_reports: Vec<(Moment, MemberIndex, MemberIndex)>,
     /// How far each limiter's clock is off.
-    skew: BTreeMap<Number, i64>,
+    skew: BTreeMap<MemberIndex, i64>,
 }
 
-fn is_there(state: State) -> bool {
-    matches!(state, State::Present | State::Suspected)
+fn is_there(state: MemberState) -> bool {
+    matches!(state, MemberState::Alive | MemberState::Suspected)
 }
 
 impl Fleet {
-    fn new(of: Number, seed: u64) -> Self {
+    fn new(member_count: MemberIndex, seed: u64) -> Self {
         let mut fleet = Self {
-            circles: Vec::new(),
+            nodes: Vec::new(),
             stopped: BTreeSet::new(),
-            waits: vec![Vec::new(); usize::from(of)],
+            inboxes: vec![Vec::new(); usize::from(member_count)],
             cut: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
-            most_delay_ms: 19,
-            air: BTreeMap::new(),
-            numbered: 0,
+            duplication: 0.0,
+            max_delay_ms: 19,
+            in_flight: BTreeMap::new(),
+            next_datagram_id: 0,
             now: START,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             zones: 3,
-            accused: Vec::new(),
+            failure_reports: Vec::new(),
             skew: BTreeMap::new(),
         };
-        fleet.circles.resize_with(usize::from(of), || None);
-        (0..of).for_each(|number| fleet.start(number));
+        fleet.nodes.resize_with(usize::from(member_count), || None);
+        (0..member_count).for_each(|index| fleet.start(index));
         fleet
     }
 
-    fn of(&self) -> Number {
-        self.circles.len() as Number
+    fn member_count(&self) -> MemberIndex {
+        self.nodes.len() as MemberIndex
     }
 
-    fn clock(&self, number: Number) -> Moment {
-        let skew = self.skew.get(&number).copied().unwrap_or_default();
+    fn clock(&self, index: MemberIndex) -> Moment {
+        let skew = self.skew.get(&index).copied().unwrap_or_default();
         Moment::from_micros(self.now.micros().saturating_add_signed(skew))
     }
 
-    fn start(&mut self, number: Number) {
-        let terms = Terms {
-            own: number,
-            of: self.of(),
-            zone: Some((number % self.zones) as u8),
-            mail_per_s: 40.0,
-            counts: true,
-            seed: self.chance.random(),
+    fn start(&mut self, index: MemberIndex) {
+        let config = NodeConfig {
+            own_index: index,
+            member_count: self.member_count(),
+            zone: Some((index % self.zones) as u8),
+            max_datagrams_per_s: 40.0,
+            peer_counting: true,
+            seed: self.rng.random(),
         };
-        self.circles[usize::from(number)] = Some(Circle::start(self.clock(number), terms));
+        self.nodes[usize::from(index)] = Some(MembershipNode::start(self.clock(index), config));
     }
 
-    fn kill(&mut self, number: Number) {
-        self.circles[usize::from(number)] = None;
-        self.waits[usize::from(number)].clear();
+    fn kill(&mut self, index: MemberIndex) {
+        self.nodes[usize::from(index)] = None;
+        self.inboxes[usize::from(index)].clear();
     }
 
-    fn send(&mut self, from: Number, to: Number, bytes: Vec<u8>) {
-        assert!(bytes.len() <= MOST && from != to);
-        let copies = 1 + usize::from(self.chance.random::<f64>() < self.doubled);
+    fn send(&mut self, from: MemberIndex, to: MemberIndex, bytes: Vec<u8>) {
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES && from != to);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
         for _ in 0..copies {
-            if self.cut.contains(&(from, to)) || self.chance.random::<f64>() < self.loss {
+            if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
                 continue;
             }
-            let delay = Span::from_millis(self.chance.random_range(2..=self.most_delay_ms));
-            self.numbered += 1;
-            self.air.insert((self.now + delay, self.numbered), (from, to, bytes.clone()));
+            let delay = Span::from_millis(self.rng.random_range(2..=self.max_delay_ms));
+            self.next_datagram_id += 1;
+            self.in_flight.insert((self.now + delay, self.next_datagram_id), (from, to, bytes.clone()));
         }
     }
 
@@ -111,61 +111,61 @@
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        while let Some(entry) = self.air.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (from, to, bytes) = entry.remove();
-            self.waits[usize::from(to)].push((from, bytes));
+            self.inboxes[usize::from(to)].push((from, bytes));
         }
-        for number in 0..self.of() {
-            let now = self.clock(number);
-            if self.stopped.contains(&number) {
+        for index in 0..self.member_count() {
+            let now = self.clock(index);
+            if self.stopped.contains(&index) {
                 continue;
             }
-            let mail = std::mem::take(&mut self.waits[usize::from(number)]);
-            let Some(circle) = &mut self.circles[usize::from(number)] else { continue };
+            let mail = std::mem::take(&mut self.inboxes[usize::from(index)]);
+            let Some(node) = &mut self.nodes[usize::from(index)] else { continue };
             for (from, bytes) in mail {
                 // What is refused is counted there.
-                let _ = circle.take(now, Some(from), &bytes);
+                let _ = node.receive(now, Some(from), &bytes);
             }
-            circle.due(now);
-            let sends = circle.sends(now);
-            for change in circle.changes().iter().filter(|change| change.to == State::Failed) {
-                self.accused.push((self.now, number, change.number));
+            node.run_due(now);
+            let sends = node.take_datagrams(now);
+            for change in node.take_changes().iter().filter(|change| change.to == MemberState::Failed) {
+                self.failure_reports.push((self.now, index, change.index));
             }
-            sends.into_iter().for_each(|(to, bytes)| self.send(number, to, bytes));
+            sends.into_iter().for_each(|(to, bytes)| self.send(index, to, bytes));
         }
     }
 
-    fn alive(&self) -> impl Iterator<Item = (Number, &Circle)> {
-        let circles = self.circles.iter().enumerate();
-        circles.filter_map(|(number, circle)| Some((number as Number, circle.as_ref()?)))
+    fn alive(&self) -> impl Iterator<Item = (MemberIndex, &MembershipNode)> {
+        let nodes = self.nodes.iter().enumerate();
+        nodes.filter_map(|(index, node)| Some((index as MemberIndex, node.as_ref()?)))
     }
 
     /// All that live and are not stopped hold just these to be there.
-    fn agree_on(&self, there: &dyn Fn(Number) -> bool) -> bool {
-        self.alive().filter(|(number, _)| !self.stopped.contains(number)).all(|(_, circle)| {
-            circle.view().others().all(|(number, fact)| is_there(fact.state) == there(number))
+    fn agree_on(&self, there: &dyn Fn(MemberIndex) -> bool) -> bool {
+        self.alive().filter(|(index, _)| !self.stopped.contains(index)).all(|(_, node)| {
+            node.view().peers().all(|(index, status)| is_there(status.state) == there(index))
         })
     }
 
     /// Runs until it holds; how many seconds that took.
-    fn until(&mut self, most_s: f64, what: &str, holds: impl Fn(&Self) -> bool) -> f64 {
+    fn until(&mut self, timeout_s: f64, what: &str, holds: impl Fn(&Self) -> bool) -> f64 {
         let from = self.now;
         while !holds(self) {
-            assert!(self.now.since(from).secs() < most_s, "{what}: not after {most_s} s");
+            assert!(self.now.since(from).secs() < timeout_s, "{what}: not after {timeout_s} s");
             self.run(0.1);
         }
         self.now.since(from).secs()
     }
 
-    fn met(of: Number, seed: u64) -> Self {
-        let mut fleet = Self::new(of, seed);
+    fn met(member_count: MemberIndex, seed: u64) -> Self {
+        let mut fleet = Self::new(member_count, seed);
         fleet.until(120.0, "all meet", |it| it.agree_on(&|_| true));
         fleet
     }
 
-    fn part(&mut self, a: impl Fn(Number) -> bool, b: impl Fn(Number) -> bool, both: bool) {
-        for from in 0..self.of() {
-            for to in 0..self.of() {
+    fn part(&mut self, a: impl Fn(MemberIndex) -> bool, b: impl Fn(MemberIndex) -> bool, both: bool) {
+        for from in 0..self.member_count() {
+            for to in 0..self.member_count() {
                 if (a(from) && b(to)) || (both && b(from) && a(to)) {
                     self.cut.insert((from, to));
                 }
@@ -173,9 +173,9 @@
         }
     }
 
-    fn reach(&mut self, number: Number) -> Reach {
-        let now = self.clock(number);
-        self.circles[usize::from(number)].as_mut().map_or(Reach::CutOff, |circle| circle.reach(now))
+    fn reach(&mut self, index: MemberIndex) -> Reachability {
+        let now = self.clock(index);
+        self.nodes[usize::from(index)].as_mut().map_or(Reachability::Isolated, |node| node.reachability(now))
     }
 }
 
@@ -183,28 +183,32 @@
 fn one_killed_is_found_by_all_and_nobody_else_is_accused() {
     let mut fleet = Fleet::met(20, 1);
     fleet.kill(7);
-    let took = fleet.until(15.0, "7 is found", |it| it.agree_on(&|number| number != 7));
-    assert!(took > 2.0 && fleet.accused.iter().all(|it| it.2 == 7), "{took} {:?}", fleet.accused);
-    assert_eq!(fleet.reach(0), Reach::Failed(vec![7]));
+    let took = fleet.until(15.0, "7 is found", |it| it.agree_on(&|index| index != 7));
+    assert!(
+        took > 2.0 && fleet.failure_reports.iter().all(|it| it.2 == 7),
+        "{took} {:?}",
+        fleet.failure_reports
+    );
+    assert_eq!(fleet.reach(0), Reachability::MembersFailed(vec![7]));
     // Back at the same address; news of the old life, still going round, does not end the new one.
-    fleet.accused.clear();
+    fleet.failure_reports.clear();
     fleet.start(7);
     fleet.until(15.0, "7 is back", |it| it.agree_on(&|_| true));
     fleet.run(30.0);
-    assert!(fleet.accused.is_empty() && fleet.agree_on(&|_| true), "{:?}", fleet.accused);
+    assert!(fleet.failure_reports.is_empty() && fleet.agree_on(&|_| true), "{:?}", fleet.failure_reports);
 }
 
 #[test]
 fn seven_in_ten_killed_at_once_and_all_restarted_within_two_seconds() {
     let mut fleet = Fleet::met(20, 2);
-    (0..14).for_each(|number| fleet.kill(number));
-    fleet.until(30.0, "the killed are found", |it| it.agree_on(&|number| number >= 14));
-    (0..14).for_each(|number| fleet.start(number));
+    (0..14).for_each(|index| fleet.kill(index));
+    fleet.until(30.0, "the killed are found", |it| it.agree_on(&|index| index >= 14));
+    (0..14).for_each(|index| fleet.start(index));
     fleet.until(30.0, "they are back", |it| it.agree_on(&|_| true));
-    for number in 0..20 {
-        fleet.kill(number);
+    for index in 0..20 {
+        fleet.kill(index);
         fleet.run(0.05);
-        fleet.start(number);
+        fleet.start(index);
         fleet.run(0.05);
     }
     fleet.until(40.0, "all are anew", |it| it.agree_on(&|_| true));
@@ -219,7 +223,7 @@
     fleet.run(0.3);
     fleet.start(4);
     fleet.run(10.0);
-    assert!(fleet.agree_on(&|_| true) && fleet.accused.iter().all(|it| it.2 == 4));
+    assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.iter().all(|it| it.2 == 4));
     // Its next life looks an hour older than the last one.
     fleet.kill(4);
     fleet.skew.insert(4, -3_600_000_000);
@@ -229,10 +233,10 @@
     assert!(fleet.agree_on(&|_| true));
     // And a clock that jumps while it runs, ahead and back.
     for jump in [7_200_000_000, -40_000_000] {
-        fleet.accused.clear();
+        fleet.failure_reports.clear();
         fleet.skew.insert(9, jump);
         fleet.run(20.0);
-        assert!(fleet.agree_on(&|_| true) && fleet.accused.is_empty(), "{:?}", fleet.accused);
+        assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.is_empty(), "{:?}", fleet.failure_reports);
     }
 }
 
@@ -241,26 +245,26 @@
     let mut fleet = Fleet::met(12, 4);
     fleet.part(|from| from == 2, |to| to == 5, false);
     fleet.run(40.0);
-    assert!(fleet.accused.is_empty(), "others still reach both: {:?}", fleet.accused);
+    assert!(fleet.failure_reports.is_empty(), "others still reach both: {:?}", fleet.failure_reports);
     // Only a quarter of the fleet reaches 3.
     fleet.part(|from| from > 2 && from != 3, |to| to == 3, true);
     fleet.run(60.0);
-    assert!(fleet.accused.is_empty(), "{:?}", fleet.accused);
+    assert!(fleet.failure_reports.is_empty(), "{:?}", fleet.failure_reports);
 }
 
 #[test]
 fn a_zone_cut_off_knows_that_it_is_and_all_meet_again() {
     for cut_s in [10.0, 120.0] {
         let mut fleet = Fleet::met(18, 5);
-        fleet.part(|number| number % 3 == 2, |number| number % 3 != 2, true);
+        fleet.part(|index| index % 3 == 2, |index| index % 3 != 2, true);
         fleet.run(cut_s);
         if cut_s > 30.0 {
-            assert_eq!(fleet.reach(0), Reach::Sites(vec![2]));
-            assert_eq!(fleet.reach(2), Reach::OwnSite);
+            assert_eq!(fleet.reach(0), Reachability::ZonesLost(vec![2]));
+            assert_eq!(fleet.reach(2), Reachability::OwnZoneIsolated);
             // Those of the larger side take over, the others do not.
-            let parts = |fleet: &mut Fleet, number: Number| {
-                let now = fleet.clock(number);
-                fleet.circles[usize::from(number)].as_mut().unwrap().parts(now, 0, 18.0)
+            let parts = |fleet: &mut Fleet, index: MemberIndex| {
+                let now = fleet.clock(index);
+                fleet.nodes[usize::from(index)].as_mut().unwrap().quota_sharers(now, 0, 18.0)
             };
             assert_eq!((parts(&mut fleet, 0), parts(&mut fleet, 2)), (12.0, 18.0));
         }
@@ -268,7 +272,7 @@
         let took = fleet.until(60.0, "one view after the cut", |it| it.agree_on(&|_| true));
         // Counted from the shares: whoever was taken over has its own again.
         let now = fleet.clock(0);
-        assert_eq!(fleet.circles[0].as_mut().unwrap().parts(now, 0, 18.0), 18.0);
+        assert_eq!(fleet.nodes[0].as_mut().unwrap().quota_sharers(now, 0, 18.0), 18.0);
         println!("healed after a cut of {cut_s} s: one view in {took:.1} s");
         fleet.run(20.0);
         assert!(fleet.agree_on(&|_| true));
@@ -278,16 +282,16 @@
 #[test]
 fn two_halves_that_each_believe_the_other_failed_meet_again_and_neither_takes_over() {
     let mut fleet = Fleet::met(16, 6);
-    fleet.part(|number| number < 8, |number| number >= 8, true);
+    fleet.part(|index| index < 8, |index| index >= 8, true);
     fleet.until(40.0, "each half has given the other up", |it| {
-        it.alive().all(|(own, circle)| {
-            circle.view().others().all(|(number, fact)| is_there(fact.state) == ((own < 8) == (number < 8)))
+        it.alive().all(|(own, node)| {
+            node.view().peers().all(|(index, status)| is_there(status.state) == ((own < 8) == (index < 8)))
         })
     });
     fleet.run(5.0);
-    for number in 0..16 {
-        let now = fleet.clock(number);
-        assert_eq!(fleet.circles[usize::from(number)].as_mut().unwrap().parts(now, 0, 16.0), 16.0);
+    for index in 0..16 {
+        let now = fleet.clock(index);
+        assert_eq!(fleet.nodes[usize::from(index)].as_mut().unwrap().quota_sharers(now, 0, 16.0), 16.0);
     }
     fleet.cut.clear();
     fleet.until(60.0, "the halves have met", |it| it.agree_on(&|_| true));
@@ -297,17 +301,17 @@
 /// member was heard all along, and nobody there takes it for more than a suspicion.
 #[test]
 fn news_of_a_failure_from_across_a_healed_cut_ends_nobody() {
-    for (of, seed) in (0..8).map(|seed| (8, seed)).chain([(40, 20), (40, 21)]) {
-        let mut fleet = Fleet::met(of, seed);
-        fleet.part(|number| number % 2 == 0, |number| number % 2 == 1, true);
-        while fleet.accused.is_empty() {
+    for (member_count, seed) in (0..8).map(|seed| (8, seed)).chain([(40, 20), (40, 21)]) {
+        let mut fleet = Fleet::met(member_count, seed);
+        fleet.part(|index| index % 2 == 0, |index| index % 2 == 1, true);
+        while fleet.failure_reports.is_empty() {
             fleet.step();
         }
         fleet.cut.clear();
         fleet.run(5.0);
         fleet.until(60.0, "one view after the cut", |it| it.agree_on(&|_| true));
-        let own: Vec<_> = fleet.accused.iter().filter(|(_, by, who)| by % 2 == who % 2).collect();
-        assert!(own.is_empty(), "{of} members, seed {seed}: {own:?}");
+        let own: Vec<_> = fleet.failure_reports.iter().filter(|(_, by, who)| by % 2 == who % 2).collect();
+        assert!(own.is_empty(), "{member_count} members, seed {seed}: {own:?}");
     }
 }
 
@@ -318,31 +322,31 @@
     fleet.run(3.0);
     fleet.stopped.clear();
     fleet.run(20.0);
-    assert!(fleet.accused.is_empty(), "three seconds are borne: {:?}", fleet.accused);
+    assert!(fleet.failure_reports.is_empty(), "three seconds are borne: {:?}", fleet.failure_reports);
     // Stopped so long that the others give it up: it accuses nobody when it goes on, and is taken back.
     fleet.stopped.insert(6);
-    fleet.until(30.0, "6 is given up", |it| it.agree_on(&|number| number != 6));
+    fleet.until(30.0, "6 is given up", |it| it.agree_on(&|index| index != 6));
     fleet.stopped.clear();
     fleet.until(30.0, "6 is back", |it| it.agree_on(&|_| true));
-    assert!(fleet.accused.iter().all(|it| it.1 != 6 && it.2 == 6), "{:?}", fleet.accused);
+    assert!(fleet.failure_reports.iter().all(|it| it.1 != 6 && it.2 == 6), "{:?}", fleet.failure_reports);
     // Starved: awake for a twentieth of the time.
-    fleet.accused.clear();
+    fleet.failure_reports.clear();
     for _ in 0..40 {
         fleet.stopped.insert(3);
         fleet.run(0.95);
         fleet.stopped.clear();
         fleet.run(0.05);
     }
-    assert!(fleet.accused.iter().all(|it| it.1 != 3), "{:?}", fleet.accused);
+    assert!(fleet.failure_reports.iter().all(|it| it.1 != 3), "{:?}", fleet.failure_reports);
 }
 
 #[test]
 fn loss_repeats_and_disorder_cause_no_false_failure() {
     for (loss, delay_ms, secs, seed) in [(0.1, 19, 600.0, 8), (0.3, 150, 240.0, 9)] {
         let mut fleet = Fleet::met(20, seed);
-        (fleet.loss, fleet.doubled, fleet.most_delay_ms) = (loss, 0.2, delay_ms);
+        (fleet.loss, fleet.duplication, fleet.max_delay_ms) = (loss, 0.2, delay_ms);
         fleet.run(secs);
-        assert!(fleet.accused.is_empty(), "loss {loss}: {:?}", fleet.accused);
+        assert!(fleet.failure_reports.is_empty(), "loss {loss}: {:?}", fleet.failure_reports);
     }
 }
 
@@ -350,16 +354,16 @@
 fn one_that_leaves_says_so_and_is_not_missed() {
     let mut fleet = Fleet::met(12, 10);
     let now = fleet.clock(5);
-    let circle = fleet.circles[5].as_mut().unwrap();
-    circle.leave(now);
-    let sends = circle.sends(now);
-    assert!(!sends.is_empty() && !circle.may_count(now));
+    let node = fleet.nodes[5].as_mut().unwrap();
+    node.leave(now);
+    let sends = node.take_datagrams(now);
+    assert!(!sends.is_empty() && !node.can_count(now));
     sends.into_iter().for_each(|(to, bytes)| fleet.send(5, to, bytes));
     fleet.kill(5);
     fleet.until(5.0, "the parting goes round", |it| {
-        it.alive().all(|(_, circle)| circle.view().fact(5).unwrap().state == State::Left)
+        it.alive().all(|(_, node)| node.view().status(5).unwrap().state == MemberState::Left)
     });
-    assert_eq!((fleet.reach(0), fleet.accused.len()), (Reach::Whole, 0));
+    assert_eq!((fleet.reach(0), fleet.failure_reports.len()), (Reachability::AllReachable, 0));
     fleet.start(5);
     fleet.until(10.0, "it is back", |it| it.agree_on(&|_| true));
 }
@@ -367,12 +371,12 @@
 #[test]
 fn counts_are_whole_through_loss_repeats_and_a_dead_keeper() {
     let mut fleet = Fleet::met(20, 11);
-    (fleet.loss, fleet.doubled) = (0.08, 0.1);
+    (fleet.loss, fleet.duplication) = (0.08, 0.1);
     let (mut totals, mut given_up) = (BTreeMap::<u64, Vec<f64>>::new(), 0);
     let collect = |fleet: &mut Fleet, totals: &mut BTreeMap<u64, Vec<f64>>| {
         let mut lost = 0;
-        for circle in fleet.circles.iter_mut().flatten() {
-            for (name, total) in circle.results() {
+        for node in fleet.nodes.iter_mut().flatten() {
+            for (name, total) in node.take_outcomes() {
                 match total {
                     Some((total, added)) => {
                         assert!(added);
@@ -387,15 +391,15 @@
     for round in 0..40_u64 {
         // Two of the names' keepers are dead from here on, and not yet found out.
         if round == 20 {
-            (15..19).for_each(|number| fleet.kill(number));
+            (15..19).for_each(|index| fleet.kill(index));
         }
-        for number in 0..15 {
-            let now = fleet.clock(number);
-            let circle = fleet.circles[usize::from(number)].as_mut().unwrap();
-            assert!(circle.may_count(now), "{round} {number}");
+        for index in 0..15 {
+            let now = fleet.clock(index);
+            let node = fleet.nodes[usize::from(index)].as_mut().unwrap();
+            assert!(node.can_count(now), "{round} {index}");
             // Half of it firm, half wanted where there is room.
             let wanted = ConditionalAdd { amount: 0.5, max_total: 100.0, max_with_deficit: 1e6 };
-            circle.add(now, 1_000 + round, 0.5, wanted);
+            node.add_to_count(now, 1_000 + round, 0.5, wanted);
             fleet.run(0.02);
         }
         fleet.run(0.7);
@@ -408,53 +412,67 @@
     assert!(whole >= 34 && given_up <= 70, "{whole} whole, {given_up} given up, {most:?}");
     // Forgotten in time, whatever came.
     fleet.run(40.0);
-    assert!(fleet.alive().all(|(_, circle)| circle.counts() == (0, 0)));
+    assert!(fleet.alive().all(|(_, node)| node.count_sizes() == (0, 0)));
 }
 
 #[test]
 fn a_flood_of_false_datagrams_changes_nothing_and_fills_nothing() {
     let mut fleet = Fleet::met(12, 12);
-    let mut chance = ChaCha8Rng::seed_from_u64(99);
-    let genuine = Frame { kind: Kind::Sums, body: &[0; 27] }.encode(12, 3);
+    let mut rng = ChaCha8Rng::seed_from_u64(99);
+    let genuine = Frame { kind: FrameKind::CountUpdates, body: &[0; 27] }.encode(12, 3);
     for round in 0..20_000 {
         let now = fleet.clock(0);
-        let circle = fleet.circles[0].as_mut().unwrap();
-        let mut bytes: Vec<u8> = (0..chance.random_range(0..300)).map(|_| chance.random()).collect();
+        let node = fleet.nodes[0].as_mut().unwrap();
+        let mut bytes: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
         match round % 4 {
             0 => {}
             // Whole, but from nobody, from itself, or said to be from another.
             1 => bytes = genuine.clone(),
-            2 => bytes = Frame { kind: Kind::Members, body: &bytes }.encode(12, 3),
-            _ => bytes = Frame { kind: Kind::Totals, body: &bytes }.encode(12, 3),
+            2 => bytes = Frame { kind: FrameKind::Membership, body: &bytes }.encode(12, 3),
+            _ => bytes = Frame { kind: FrameKind::CountTotals, body: &bytes }.encode(12, 3),
         }
-        let from = [None, Some(0), Some(4), Some(3)][chance.random_range(0..4)];
-        let _ = circle.take(now, from, &bytes);
+        let from = [None, Some(0), Some(4), Some(3)][rng.random_range(0..4)];
+        let _ = node.receive(now, from, &bytes);
         if round % 100 == 0 {
             fleet.step();
         }
     }
     fleet.run(5.0);
-    assert!(fleet.agree_on(&|_| true) && fleet.accused.is_empty());
-    let refused = fleet.circles[0].as_ref().unwrap().refused();
-    for reason in [Refused::Stranger, Refused::Unreadable, Refused::Flood, Refused::Long, Refused::Version] {
+    assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.is_empty());
+    let refused = fleet.nodes[0].as_ref().unwrap().rejected_datagrams();
+    for reason in [
+        RejectReason::UnknownSender,
+        RejectReason::Malformed,
+        RejectReason::RateLimited,
+        RejectReason::TooLong,
+        RejectReason::UnsupportedVersion,
+    ] {
         assert!(refused.get(&reason).is_some_and(|many| *many > 50), "{reason}: {refused:?}");
     }
-    assert!(fleet.circles[0].as_ref().unwrap().counts().0 < 2_000);
+    assert!(fleet.nodes[0].as_ref().unwrap().count_sizes().0 < 2_000);
 }
 
 /// Numbers of another list: the peer list of one is out of date, or names another fleet.
 #[test]
 fn a_limiter_of_another_list_is_not_understood() {
     let mut fleet = Fleet::met(6, 13);
-    let terms = Terms { own: 2, of: 7, zone: None, mail_per_s: 40.0, counts: true, seed: 1 };
-    let mut other = Circle::start(fleet.now, terms);
+    let config = NodeConfig {
+        own_index: 2,
+        member_count: 7,
+        zone: None,
+        max_datagrams_per_s: 40.0,
+        peer_counting: true,
+        seed: 1,
+    };
+    let mut other = MembershipNode::start(fleet.now, config);
     let mut refused = 0;
     for step in 0..200 {
         let now = fleet.now + Span::from_millis(step * 50);
-        other.due(now);
-        for (to, bytes) in other.sends(now) {
-            if let Some(circle) = fleet.circles.get_mut(usize::from(to)).and_then(Option::as_mut) {
-                refused += usize::from(circle.take(now, Some(2), &bytes) == Err(Refused::Garbled));
+        other.run_due(now);
+        for (to, bytes) in other.take_datagrams(now) {
+            if let Some(node) = fleet.nodes.get_mut(usize::from(to)).and_then(Option::as_mut) {
+                refused +=
+                    usize::from(node.receive(now, Some(2), &bytes) == Err(RejectReason::ChecksumMismatch));
             }
         }
     }
@@ -464,14 +482,14 @@
 #[test]
 fn what_a_quiet_limiter_sends_does_not_grow_with_the_fleet() {
     let mut figures = Vec::new();
-    for of in [10, 100] {
-        let mut fleet = Fleet::met(of, 14);
+    for member_count in [10, 100] {
+        let mut fleet = Fleet::met(member_count, 14);
         fleet.run(20.0);
-        let before: Vec<(u64, u64)> = fleet.alive().map(|(_, circle)| circle.sent).collect();
+        let before: Vec<(u64, u64)> = fleet.alive().map(|(_, node)| node.sent).collect();
         fleet.run(10.0);
-        let after: Vec<(u64, u64)> = fleet.alive().map(|(_, circle)| circle.sent).collect();
+        let after: Vec<(u64, u64)> = fleet.alive().map(|(_, node)| node.sent).collect();
         let sent = before.iter().zip(&after).map(|(a, b)| (b.0 - a.0) as f64).sum::<f64>();
-        figures.push(sent / 10.0 / f64::from(of));
+        figures.push(sent / 10.0 / f64::from(member_count));
     }
     println!("datagrams a limiter and second: {figures:?}");
     assert!(figures.iter().all(|figure| (1.5..2.5).contains(figure)), "{figures:?}");
@@ -479,10 +497,10 @@
 
 #[test]
 fn the_bounds_of_shares_are_as_stated() {
-    assert!((shares::strict(300) * 300.0 - 1.0).abs() < 1e-9);
-    assert_eq!(shares::greatest_overrun(), 1.0);
-    assert_eq!(shares::overrun_in_partition(1.0), 0.0);
-    assert!((shares::overrun_in_partition(2.0 / 3.0) - 1.0 / 3.0).abs() < 1e-9);
+    assert!((shares::strict_share(300) * 300.0 - 1.0).abs() < 1e-9);
+    assert_eq!(shares::max_overrun(), 1.0);
+    assert_eq!(shares::max_partition_overrun(1.0), 0.0);
+    assert!((shares::max_partition_overrun(2.0 / 3.0) - 1.0 / 3.0).abs() < 1e-9);
 }
 
 #[path = "../examples/fuzz.rs"]
--- a/crates/membership/tests/shares.rs
+++ b/crates/membership/tests/shares.rs
@@ -2,15 +2,15 @@
 //! never. What must never be exceeded never is; what may be exceeded stays within its bound.
 
 use fennelgauge::time::{Moment, Span};
-use fennelgauge_membership::shares::{greatest_overrun, overrun_in_partition, parts, strict};
-use fennelgauge_membership::view::{State, View};
-use fennelgauge_membership::Number;
+use fennelgauge_membership::shares::{max_overrun, max_partition_overrun, quota_sharers, strict_share};
+use fennelgauge_membership::view::{MemberState, MembershipView};
+use fennelgauge_membership::MemberIndex;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use std::collections::BTreeSet;
 
-const OF: Number = 9;
+const OF: MemberIndex = 9;
 const START: Moment = Moment::from_micros(60_000_000);
 
 /// Who lives, and which part of the network each is in.
@@ -22,14 +22,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Kill(Number),
-    Start(Number),
-    Leave(Number),
+    Kill(MemberIndex),
+    Start(MemberIndex),
+    Leave(MemberIndex),
     Cut(Vec<u8>),
     Heal,
     Wait(u64),
     /// A member comes to hold another in that state, for whatever reason: news late, lost, or wrong.
-    Believes(Number, Number, u8),
+    Believes(MemberIndex, MemberIndex, u8),
 }
 
 impl ReferenceStateMachine for World {
@@ -41,15 +41,15 @@
     }
 
     fn transitions(_: &Self) -> BoxedStrategy<Step> {
-        let number = || 0..OF;
+        let index = || 0..OF;
         prop_oneof![
-            2 => number().prop_map(Step::Kill),
-            2 => number().prop_map(Step::Start),
-            1 => number().prop_map(Step::Leave),
+            2 => index().prop_map(Step::Kill),
+            2 => index().prop_map(Step::Start),
+            1 => index().prop_map(Step::Leave),
             2 => proptest::collection::vec(0_u8..3, usize::from(OF)).prop_map(Step::Cut),
             1 => Just(Step::Heal),
             3 => (100_u64..9_000).prop_map(Step::Wait),
-            6 => (number(), number(), 0_u8..5).prop_map(|(a, b, state)| Step::Believes(a, b, state)),
+            6 => (index(), index(), 0_u8..5).prop_map(|(a, b, state)| Step::Believes(a, b, state)),
         ]
         .boxed()
     }
@@ -71,15 +71,16 @@
 /// The members' views; `rule` makes the share of what must never be exceeded.
 struct Fleet {
     now: Moment,
-    views: Vec<View>,
-    rule: fn(&View) -> f64,
+    views: Vec<MembershipView>,
+    rule: fn(&MembershipView) -> f64,
 }
 
 impl Fleet {
-    fn new(rule: fn(&View) -> f64) -> Self {
-        let mut views: Vec<View> = (0..OF).map(|own| View::new(own, 0, OF, START)).collect();
+    fn new(rule: fn(&MembershipView) -> f64) -> Self {
+        let mut views: Vec<MembershipView> =
+            (0..OF).map(|own| MembershipView::new(own, 0, OF, START)).collect();
         for view in &mut views {
-            (0..OF).for_each(|other| view.set(other, State::Present, 1, 0, START));
+            (0..OF).for_each(|other| view.update(other, MemberState::Alive, 1, 0, START));
         }
         Self { now: START, views, rule }
     }
@@ -89,39 +90,44 @@
             Step::Wait(ms) => {
                 self.now = self.now + Span::from_millis(*ms);
                 // Whoever runs finds out in that time whom it does not reach, and whom it does.
-                for (number, view) in self.views.iter_mut().enumerate().filter(|_| *ms > 6_000) {
+                for (index, view) in self.views.iter_mut().enumerate().filter(|_| *ms > 6_000) {
                     for other in 0..OF {
                         let reached = world.lives[usize::from(other)].is_some()
-                            && world.part[usize::from(other)] == world.part[number];
-                        let state = if reached { State::Present } else { State::Failed };
-                        view.set(other, state, 1, 0, self.now);
+                            && world.part[usize::from(other)] == world.part[index];
+                        let state = if reached { MemberState::Alive } else { MemberState::Failed };
+                        view.update(other, state, 1, 0, self.now);
                     }
                 }
             }
             Step::Believes(who, whom, state) => {
-                let states =
-                    [State::NeverHeard, State::Present, State::Suspected, State::Failed, State::Left];
-                self.views[usize::from(*who)].set(*whom, states[usize::from(*state)], 1, 0, self.now);
+                let states = [
+                    MemberState::Unknown,
+                    MemberState::Alive,
+                    MemberState::Suspected,
+                    MemberState::Failed,
+                    MemberState::Left,
+                ];
+                self.views[usize::from(*who)].update(*whom, states[usize::from(*state)], 1, 0, self.now);
             }
             // A new life knows nobody yet.
-            Step::Start(who) => self.views[usize::from(*who)] = View::new(*who, 0, OF, self.now),
+            Step::Start(who) => self.views[usize::from(*who)] = MembershipView::new(*who, 0, OF, self.now),
             _ => {}
         }
         self
     }
 
     fn holds(&self, world: &World) -> Result<(), String> {
-        let lives = |number: &usize| world.lives[*number].is_some();
-        let strict: f64 = (0..usize::from(OF)).filter(lives).map(|it| (self.rule)(&self.views[it])).sum();
-        if strict > 1.0 + 1e-9 {
-            return Err(format!("shares of what must never be exceeded sum to {strict}"));
+        let lives = |index: &usize| world.lives[*index].is_some();
+        let strict_sum: f64 = (0..usize::from(OF)).filter(lives).map(|it| (self.rule)(&self.views[it])).sum();
+        if strict_sum > 1.0 + 1e-9 {
+            return Err(format!("shares of what must never be exceeded sum to {strict_sum}"));
         }
         for (first, size) in [(0, 9.0), (7, 4.0), (3, 6.0)] {
             let set: BTreeSet<usize> =
                 (0..size as usize).map(|step| (first + step) % usize::from(OF)).collect();
-            let share = |it: &usize| 1.0 / parts(&self.views[*it], self.now, first as u32, size);
+            let share = |it: &usize| 1.0 / quota_sharers(&self.views[*it], self.now, first as u32, size);
             let soft: f64 = set.iter().filter(|it| lives(it)).map(share).sum();
-            if soft > 1.0 + greatest_overrun() + 1e-9 {
+            if soft > 1.0 + max_overrun() + 1e-9 {
                 return Err(format!("a quota's shares over {size} from {first} sum to {soft}"));
             }
         }
@@ -136,7 +142,7 @@
     type Reference = World;
 
     fn init_test(_: &World) -> Fleet {
-        Fleet::new(|_| strict(OF))
+        Fleet::new(|_| strict_share(OF))
     }
 
     fn apply(fleet: Fleet, world: &World, step: Step) -> Fleet {
@@ -163,8 +169,8 @@
     let steps = World::sequential_strategy(1..60);
     let broken = runner.run(&steps, |(mut world, steps, _)| {
         let mut fleet = Fleet::new(|view| {
-            let works = view.others().filter(|(_, fact)| fact.state.may_work()).count();
-            1.0 / (works + 1) as f64
+            let live_generation = view.peers().filter(|(_, status)| status.state.may_be_alive()).count();
+            1.0 / (live_generation + 1) as f64
         });
         for step in steps {
             world = World::apply(world, &step);
@@ -184,14 +190,14 @@
         let later = START + Span::from_millis(60_000);
         let mut sum = 0.0;
         for own in 0..OF {
-            let mut view = View::new(own, 0, OF, START);
+            let mut view = MembershipView::new(own, 0, OF, START);
             for other in 0..OF {
                 let same = (own < larger) == (other < larger);
-                view.set(other, if same { State::Present } else { State::Failed }, 1, 0, START);
+                view.update(other, if same { MemberState::Alive } else { MemberState::Failed }, 1, 0, START);
             }
-            sum += 1.0 / parts(&view, later, 0, f64::from(OF));
+            sum += 1.0 / quota_sharers(&view, later, 0, f64::from(OF));
         }
-        let bound = 1.0 + overrun_in_partition(f64::from(larger) / f64::from(OF));
+        let bound = 1.0 + max_partition_overrun(f64::from(larger) / f64::from(OF));
         prop_assert!(sum <= bound + 1e-9, "{} over {}", sum, bound);
     }
 }
