--- a/crates/membership/examples/fuzz.rs
+++ b/crates/membership/examples/fuzz.rs
@@ -1,5 +1,5 @@
-//! Feeds a limiter's place among the others with datagrams that nobody sent: noise, and genuine ones spoilt and signed
-//! anew. The figure of `docs/membership.md` is of ten million.
+//! Feeds a membership node with forged datagrams: random bytes, and genuine bodies that were modified and got a new
+//! checksum. The result in `docs/membership.md` is from ten million of them.
 //!
 //!     cargo run --release -p fennelgauge-membership --example fuzz -- 10000000
 
@@ -12,10 +12,10 @@
 fn main() {
     let inputs = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(100_000_u64);
     let accepted = run(inputs, 1);
-    println!("{inputs} datagrams, {accepted} of them taken in, no panic");
+    println!("{inputs} datagrams, {accepted} of them accepted, no panic");
 }
 
-/// Returns how many were taken in.
+/// Feeds `inputs` datagrams to a node and returns how many it accepted.
 pub fn run(inputs: u64, seed: u64) -> u64 {
     const MEMBER_COUNT: u16 = 20;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -39,9 +39,9 @@
             [FrameKind::Membership, FrameKind::CountUpdates, FrameKind::CountTotals][rng.random_range(0..3)];
         match input % 4 {
             0 => {}
-            // Noise that passes for whole.
+            // Random bytes in a valid frame.
             1 => bytes = Frame { kind, body: &bytes }.encode(MEMBER_COUNT, from),
-            // A genuine body, spoilt at some places and signed anew.
+            // A genuine body with some bytes changed, in a valid frame.
             _ if !genuine.is_empty() => {
                 let mut body = genuine[rng.random_range(0..genuine.len())].clone();
                 for _ in 0..rng.random_range(0..4) {
--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -1,28 +1,31 @@
-//! The time that a limiter was awake. One that was itself stopped, starved of the processor or whose clock jumped
-//! must not count that time against the others: by the clock alone all of them would have been silent.
+//! A clock of active time that excludes the intervals in which this process did not run. A gateway that was stopped,
+//! starved of CPU, or whose clock jumped must not hold that time against the others: by the system clock alone, all of
+//! them would seem to have been silent.
 
 use fennelgauge::time::{Moment, Span};
 
-/// Looked at this often at least while awake; what is missing beyond it, this limiter slept through.
+/// Longest interval between two readings while the process runs. Of a pause, only this much counts as active time.
 pub const MAX_ADVANCE: Span = Span::from_millis(250);
-/// So much later than meant is no lateness of a loaded machine any more.
+/// A reading that is late by more than this is treated as a pause, not as the scheduling delay of a loaded machine.
 const SCHEDULING_TOLERANCE: Span = Span::from_millis(250);
-/// Awake for so long without a lapse, one lapse is forgotten.
+/// Active time without a pause after which one recent pause is forgotten.
 const FORGIVE_AFTER: Span = Span::from_millis(10_000);
-/// More lapses than this are counted no further.
+/// Upper bound of [`ActiveClock::recent_pauses`].
 const MAX_PAUSES: u32 = 4;
 
+/// Converts readings of the system clock to active time and counts pauses.
 #[derive(Clone, Debug)]
 pub struct ActiveClock {
     last_reading: Moment,
     active_time: Moment,
     recent_pauses: u32,
     forgive_at: Moment,
-    /// All time slept through, ever.
+    /// Sum of all time excluded from active time since the start.
     pub total_paused: Span,
 }
 
 impl ActiveClock {
+    /// Starts with active time equal to `now`.
     pub fn new(now: Moment) -> Self {
         Self {
             last_reading: now,
@@ -33,7 +36,8 @@
         }
     }
 
-    /// The present moment of the time awake; it runs on by [`MAX_ADVANCE`] at most between two looks.
+    /// Takes a reading of the system clock and returns the active time. A gap longer than a scheduling delay advances
+    /// it by [`MAX_ADVANCE`] only; a clock that was set back does not advance it.
     pub fn advance(&mut self, now: Moment) -> Moment {
         let elapsed = now.since(self.last_reading);
         self.last_reading = now;
@@ -54,12 +58,13 @@
         self.active_time
     }
 
-    /// How often it slept of late, four at most: whom it suspects gets so many times longer to speak up.
+    /// Returns the number of recent pauses, at most four. The suspicion timeout is extended by that many times its
+    /// length.
     pub fn recent_pauses(&self) -> u32 {
         self.recent_pauses
     }
 
-    /// When a moment of the time awake comes, if nothing is slept through until then.
+    /// Converts a moment of active time to system time, assuming no pause until then.
     pub fn wall_time(&self, active_time: Moment) -> Moment {
         self.last_reading + active_time.since(self.active_time)
     }
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,18 +1,21 @@
-//! Identities and members as bytes of fixed size, most significant first, for the library that keeps the membership.
+//! Encoding of `foca` messages: identities and members as big-endian values of fixed size.
 
 use crate::identity::{Identity, GENERATION_BITS};
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, Message, State};
 use std::fmt::{Display, Formatter};
 
+/// Encoded size of an identity: index (2), generation (6), zone (1).
 const IDENTITY_BYTES: usize = 9;
+/// Encoded size of a member: identity, incarnation (2), state (1).
 const MEMBER_BYTES: usize = IDENTITY_BYTES + 3;
 
+/// Why a message could not be encoded or decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CodecError {
-    /// There is no room for it, or too little has come.
+    /// The buffer is too small, or the input ends early.
     TooShort,
-    /// A tag that stands for nothing.
+    /// The tag of a message or of a member's state is not defined.
     UnknownTag(u8),
 }
 
@@ -27,6 +30,7 @@
 
 impl std::error::Error for CodecError {}
 
+/// Encodes and decodes message headers and members for `foca`.
 pub struct IdentityCodec;
 
 fn write_identity(identity: &Identity, out: &mut impl BufMut) {
@@ -46,7 +50,7 @@
     })
 }
 
-/// A message's tag, and what it carries besides: another member, and the number of the probe.
+/// Returns the tag of a message and its optional fields: a third member and the number of the probe.
 fn message_parts(message: &Message<Identity>) -> (u8, Option<&Identity>, Option<u8>) {
     match message {
         Message::Ping(probe) => (0, None, Some(*probe)),
@@ -150,14 +154,14 @@
     }
 }
 
-/// A message that also tells its receiver, or whoever it asks to try, that a member is suspected: the member answers
-/// with a later incarnation, and nobody's word is needed but its own.
+/// Encodes a probe that carries the suspicion about `suspect`: a direct one if `to` is the suspect, else a request for
+/// an indirect one. The suspect refutes it with a higher incarnation, which needs no other member's confirmation.
 pub fn encode_suspicion_probe(
     own: Identity,
     to: Identity,
     suspect: &Member<Identity>,
 ) -> Result<Vec<u8>, CodecError> {
-    // Of no probe that anybody waits for: the answer counts by whom it is from.
+    // No probe with this number is pending: the reply counts by its sender.
     let probe_number = 0;
     let message = if to.index == suspect.id().index {
         Message::Ping(probe_number)
@@ -165,24 +169,25 @@
         Message::PingReq { target: *suspect.id(), probe_number }
     };
     let mut out = Vec::new();
-    // An incarnation that is not the latest says nothing: the receivers know better.
+    // Receivers ignore an incarnation that is not the sender's latest.
     IdentityCodec.encode_header(&Header { src: own, src_incarnation: 0, dst: to, message }, &mut out)?;
     out.put_u16(1);
     IdentityCodec.encode_member(suspect, &mut out)?;
     Ok(out)
 }
 
-/// A message, before anything is made of it.
+/// A decoded `foca` message that has not been processed yet.
 pub struct ParsedMessage<'a> {
     bytes: &'a [u8],
     header: Header<Identity>,
-    /// Those that it tells of.
+    /// Members whose states the message reports.
     members: Vec<Member<Identity>>,
-    /// Where they begin among its bytes.
+    /// Offset of the encoded members in `bytes`.
     members_offset: usize,
 }
 
 impl<'a> ParsedMessage<'a> {
+    /// Decodes the header and the members of a message.
     pub fn new(bytes: &'a [u8]) -> Result<Self, CodecError> {
         let mut rest = bytes;
         let header = IdentityCodec.decode_header(&mut rest)?;
@@ -195,7 +200,7 @@
         Ok(Self { bytes, header, members: members?, members_offset })
     }
 
-    /// Whom it is from and for, and the members that it names.
+    /// Returns all identities in the message: first the sender, then the receiver, then all others.
     pub fn mentioned(&self) -> Vec<Identity> {
         let mut mentioned = vec![self.header.src, self.header.dst];
         mentioned.extend(message_parts(&self.header.message).1);
@@ -203,15 +208,15 @@
         mentioned
     }
 
-    /// Those that it says to be alive, its sender first.
+    /// Returns the members that the message reports alive, the sender first.
     pub fn alive(&self) -> impl Iterator<Item = Member<Identity>> + '_ {
         let sender = Member::new(self.header.src, self.header.src_incarnation, State::Alive);
         let alive = self.members.iter().filter(|member| member.state() == State::Alive);
         std::iter::once(sender).chain(alive.cloned())
     }
 
-    /// The message with those members only suspected that it holds to be down and `is_doubted` doubts. What a member says
-    /// of itself is not doubted.
+    /// Re-encodes the message with those members as suspects that it reports down and for which `is_doubted` returns
+    /// true. A member's report about itself stays.
     pub fn with_doubted_failures(
         &self,
         is_doubted: impl Fn(&Member<Identity>) -> bool,
--- a/crates/membership/src/codec/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -2,7 +2,7 @@
 use crate::identity::NO_ZONE;
 
 #[test]
-fn headers_and_members_come_back_as_they_were() {
+fn headers_and_members_round_trip_and_truncated_ones_are_rejected() {
     let one = Identity { index: 299, generation: (1 << 48) - 1, zone: 2 };
     let other = Identity { index: 7, generation: 1_764_633_600_000, zone: NO_ZONE };
     let messages = [
--- a/crates/membership/src/counting.rs
+++ b/crates/membership/src/counting.rs
@@ -1,8 +1,9 @@
-//! Counts among members, for while the shared counter is out of reach or its calls have to wait. Each count has one
-//! member as its keeper, found by hashing: members tell the keeper their own sums and hear the total. A sum says all
-//! that its sender has added in that life, so that loss, repeats and order do no harm. What is wanted besides is added
-//! only where the total does not stand above a bound already: taken back by a second datagram each, units asked for in
-//! vain were a third of all that was sent.
+//! Counts that the members keep among themselves while the shared counter is unreachable or its calls have to wait.
+//!
+//! Each count is owned by one member, chosen by rendezvous hashing. Members send the owner their own sums, and it
+//! replies with the total. A sum is cumulative over the sender's generation, so lost, repeated or reordered datagrams
+//! do no harm. A conditional amount is added only if the total is not above a bound already: when it was added first
+//! and withdrawn by a second datagram, such withdrawals were a third of all datagrams.
 
 use crate::frame::{FrameKind, RejectReason, MAX_BODY_BYTES};
 use crate::MemberIndex;
@@ -12,45 +13,53 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// An ask is repeated after so many times what answers take of late, within these bounds: asked again earlier, slow
-/// ways would double the datagrams; the longest is a third of what jobs can wait.
+/// A query is retried after this multiple of the average response time, between [`MIN_RETRY_DELAY`] and
+/// [`MAX_RETRY_DELAY`]. Earlier retries would double the datagrams on slow links.
 const RETRY_FACTOR: f64 = 1.6;
+/// Shortest time until a retry.
 const MIN_RETRY_DELAY: Span = Span::from_millis(15);
+/// Longest time until a retry: a third of the time that jobs can wait.
 const MAX_RETRY_DELAY: Span = Span::from_millis(100);
-/// What answers are taken to take until some have come, in seconds.
+/// Assumed response time before the first reply, in seconds.
 const INITIAL_RESPONSE_TIME_S: f64 = 0.025;
-/// So often: with one way in ten losing a datagram, one ask in a hundred stays unanswered. Jobs wait for it.
+/// Transmissions of a query in total. With 10% loss in each direction, one query in a hundred gets no reply. Jobs wait
+/// for the reply.
 const MAX_TRIES: u8 = 3;
-/// A keeper that left so many asks in a row unanswered is passed over, until it is heard or begins a new life, or for
-/// this long: by then the members' own probes have found it out. Passed over for less, by bad luck, its counts would
-/// be kept at two places.
+/// After this many queries in a row without a reply, an owner is avoided until it is heard again, begins a new
+/// generation, or [`AVOID_OWNER_FOR`] has passed. With a lower limit, random loss would give its counts two owners.
 const MAX_UNANSWERED: u8 = 2;
+/// How long an unresponsive owner is avoided: by then the failure detector has noticed a failure.
 const AVOID_OWNER_FOR: Span = Span::from_millis(10_000);
-/// Counts live for three windows of any plan.
+/// How long a count is kept after its last update: three quota windows of any plan.
 const COUNT_TTL: Span = Span::from_millis(30_000);
-/// Names that are kept at most: some four a second of each of 300 members, for as long as they live.
+/// Most counts that one member owns: about four new keys per second from each of 300 members during [`COUNT_TTL`].
 const MAX_KEYS: usize = 40_000;
-/// A datagram that many behind the latest of its sender is too old to tell anything.
+/// A datagram whose serial number is this far behind the sender's latest is rejected as stale.
 const MAX_SERIAL_LAG: u16 = 1_024;
-/// Datagrams of a former life come no later than this after the first of the next one.
+/// Datagrams of an earlier generation arrive at most this long after the first one of the next generation.
 const MAX_DATAGRAM_DELAY: Span = Span::from_millis(2_000);
 
+/// Generation (4) and serial number (2) at the start of a body.
 const BODY_HEADER_BYTES: usize = 6;
+/// Encoded size of an update: key (5) and four 32-bit floats.
 const UPDATE_BYTES: usize = 21;
+/// Encoded size of a total: key with [`ADDED_FLAG`] (5) and a 32-bit float.
 const TOTAL_BYTES: usize = 9;
 const MAX_UPDATES_PER_DATAGRAM: usize = (MAX_BODY_BYTES - BODY_HEADER_BYTES) / UPDATE_BYTES;
-/// Names on the wire: of some thousands that live at a time, two meet once in a hundred thousand fleets. The highest bit
-/// of a total's tells whether what was wanted was added.
+/// Bits of a key that are sent. Among the few thousand keys in use at a time, two collide in one of a hundred thousand
+/// deployments.
 const KEY_MASK: u64 = (1 << 39) - 1;
+/// Set in the key of a total if the conditional amount was added.
 const ADDED_FLAG: u64 = 1 << 39;
 
+/// Hash that identifies a count; only the lower 39 bits are sent.
 pub type CounterKey = u64;
 
-/// What came of an ask: the total as it is, or would be, with what was wanted, and whether that was added. None: no
-/// total will come.
+/// Result of adding to a count: the total including the conditional amount, and whether that amount was added. `None`
+/// if the owner did not reply or had no room for the key.
 pub type AddOutcome = Option<(f64, bool)>;
 
-/// A member's own sum, and what it wants besides.
+/// This member's own sum of a count, and the conditional amount that is being requested.
 #[derive(Clone, Copy)]
 struct LocalSum {
     committed: f64,
@@ -58,16 +67,17 @@
     expires_at: Moment,
 }
 
+/// A query that waits for the owner's reply.
 struct PendingQuery {
     owner: MemberIndex,
-    /// Answers to datagrams before this one do not hold the sum that is asked for.
+    /// Serial number of the query's datagram. Replies to earlier ones do not include the present sum.
     serial: u16,
     sent: Moment,
     retry_at: Moment,
     tries: u8,
 }
 
-/// One sender's sum in one of its lives, and the datagram that told it.
+/// The sum of one generation of a member, and the serial number of the datagram that reported it.
 struct MemberSum {
     from: MemberIndex,
     generation: u32,
@@ -75,47 +85,50 @@
     sum: f64,
 }
 
+/// A count that this member owns.
 struct OwnedCount {
     expires_at: Moment,
     sums: Vec<MemberSum>,
 }
 
-/// The latest life and datagram of a sender, and since when it is in that life.
+/// Latest generation and serial number of a sender, and when its first datagram of that generation arrived.
 struct LatestDatagram {
     generation: u32,
     serial: u16,
     since: Moment,
 }
 
-/// What is known of who may keep counts.
+/// Tells which members can own counts.
 pub trait OwnerLiveness {
-    /// The member may be working; the life it is in.
+    /// Returns the member's generation, or `None` if it must not own counts at present.
     fn live_generation(&self, index: MemberIndex) -> Option<u64>;
 }
 
+/// The counts of one member: its own sums, the queries for totals, and the counts that it owns.
 pub struct PeerCounts {
     own_index: MemberIndex,
     member_count: MemberIndex,
-    /// The lower half of the life: it tells two lives apart, and their order.
+    /// The lower 32 bits of the generation, enough to tell two generations and their order apart.
     generation: u32,
     serial: u16,
     local_sums: BTreeMap<CounterKey, LocalSum>,
     pending: BTreeMap<CounterKey, PendingQuery>,
-    /// How long answers take of late, in seconds.
+    /// Moving average of the response time, in seconds.
     response_time_s: f64,
     owned_counts: BTreeMap<CounterKey, OwnedCount>,
     latest_datagrams: BTreeMap<MemberIndex, LatestDatagram>,
-    /// Asks in a row that a keeper left unanswered; until when it is passed over, and in which life.
+    /// Per owner: queries in a row without a reply, until when it is avoided, and its generation then.
     unresponsive: BTreeMap<MemberIndex, (u8, Moment, u64)>,
-    /// Names whose sums go to that keeper with the next datagram.
+    /// Keys to be sent to each owner with the next datagrams.
     queued: BTreeMap<MemberIndex, Vec<CounterKey>>,
     datagrams: Vec<(MemberIndex, FrameKind, Vec<u8>)>,
     outcomes: Vec<(CounterKey, AddOutcome)>,
     next_cleanup: Moment,
-    /// Asks so far, how many went again, and how many stayed unanswered.
+    /// Number of queries, of retries, and of queries without a reply, since the start.
     pub query_stats: (u64, u64, u64),
 }
 
+/// Weight of a member as the owner of a key; the member with the highest weight owns it.
 fn rendezvous_weight(key: CounterKey, index: MemberIndex) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, index).hash(&mut hasher);
@@ -142,13 +155,13 @@
     u64::from_be_bytes([0, 0, 0, n0, n1, n2, n3, n4])
 }
 
-/// A figure that is none is refused: it would spoil the total for all.
+/// Decodes a float. Errs for NaN and infinity, which would corrupt the total of all members.
 fn read_f32(bytes: &[u8; 4]) -> Result<f64, RejectReason> {
     let value = f64::from(f32::from_be_bytes(*bytes));
     value.is_finite().then_some(value).ok_or(RejectReason::Malformed)
 }
 
-/// The life and serial of a datagram, and its items.
+/// Splits a body into generation, serial number and items of `N` bytes.
 fn read_items<const N: usize>(bytes: &[u8]) -> Result<(u32, u16, &[[u8; N]]), RejectReason> {
     let (Some(head), Some(rest)) = (bytes.first_chunk::<BODY_HEADER_BYTES>(), bytes.get(BODY_HEADER_BYTES..))
     else {
@@ -179,7 +192,8 @@
 }
 
 impl PeerCounts {
-    /// `generation` in milliseconds of Unix time: the process's own, which no news changes.
+    /// Creates empty counts. `generation` is the one at the start of this process, in milliseconds of Unix time; it
+    /// does not change later, even if the failure detector's generation does.
     pub fn new(now: Moment, own_index: MemberIndex, member_count: MemberIndex, generation: u64) -> Self {
         Self {
             own_index,
@@ -200,8 +214,8 @@
         }
     }
 
-    /// The keeper of a count: the member that may work with the highest draw, so that when one goes only its own
-    /// counts move.
+    /// Returns the owner of a count: the live member with the highest rendezvous weight. When a member fails, only the
+    /// counts that it owned move.
     pub fn owner(&self, key: CounterKey, now: Moment, liveness: &impl OwnerLiveness) -> MemberIndex {
         let is_candidate = |index: &MemberIndex| {
             if *index == self.own_index {
@@ -218,7 +232,8 @@
             .unwrap_or(self.own_index)
     }
 
-    /// Adds to this member's own sum and asks for the total; it comes among [`Self::results`]. One ask by name.
+    /// Adds to this member's own sum and queries the total, which [`Self::take_outcomes`] returns later. At most one
+    /// query per key is pending.
     pub fn add(
         &mut self,
         now: Moment,
@@ -234,6 +249,7 @@
         self.query(now, key, 0, liveness);
     }
 
+    /// Queries the total of a count, from the owner or, if this member owns it, directly.
     fn query(&mut self, now: Moment, key: CounterKey, tries: u8, liveness: &impl OwnerLiveness) {
         let owner = self.owner(key, now, liveness);
         let Some(sum) = self.local_sums.get(&key).copied() else { return };
@@ -249,7 +265,7 @@
             );
             return self.finish(key, outcome);
         }
-        // The datagram that will carry it.
+        // Serial number of the next datagram, which will carry this query.
         let serial = self.serial.wrapping_add(1);
         let retry_at = now
             + Span::from_secs(self.response_time_s * RETRY_FACTOR).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
@@ -257,7 +273,7 @@
         self.queued.entry(owner).or_default().push(key);
     }
 
-    /// An ask has its outcome. What may have been added counts as added.
+    /// Ends a query. Without a reply the conditional amount counts as added, because the owner may have added it.
     fn finish(&mut self, key: CounterKey, outcome: AddOutcome) {
         self.pending.remove(&key);
         if let Some(sum) = self.local_sums.get_mut(&key).filter(|_| outcome.is_none_or(|it| it.1)) {
@@ -269,7 +285,8 @@
         self.outcomes.push((key, outcome));
     }
 
-    /// Takes in a sender's sum; none where no more names fit. The same datagram taken in twice comes to the same.
+    /// Applies a sender's sum to an owned count. Returns `None` if there is no room for the key or for another
+    /// generation. Applying the same datagram twice has no further effect.
     fn apply_update(
         &mut self,
         now: Moment,
@@ -294,17 +311,18 @@
         let sum = if added { committed + conditional.amount } else { committed };
         let member_sum = MemberSum { from, generation, serial, sum };
         match own {
-            // Overtaken on the way by a later one of the same sender.
+            // A later datagram of the same sender arrived first.
             Some(at) if serial_precedes(serial, entry.sums[at].serial) => {}
             Some(at) => entry.sums[at] = member_sum,
-            // What a former life used stays used. So many lives in one window are no restarts.
+            // Sums of earlier generations stay part of the total. More generations than this within one window can't
+            // come from restarts.
             None if entry.sums.len() >= max_sums => return None,
             None => entry.sums.push(member_sum),
         }
         Some((before + conditional.amount, added))
     }
 
-    /// A member's sums; the totals go back to it.
+    /// Processes a member's sums and queues the reply with the totals.
     pub fn receive_updates(
         &mut self,
         now: Moment,
@@ -331,6 +349,7 @@
         Ok(())
     }
 
+    /// Errs if a datagram is far behind the sender's latest or of an earlier generation; else records it as the latest.
     fn check_freshness(
         &mut self,
         now: Moment,
@@ -347,7 +366,8 @@
             latest.serial = if serial_precedes(latest.serial, serial) { serial } else { latest.serial };
             return Ok(());
         }
-        // A life that looks earlier is one: unless the present one is long known, and a clock was set back.
+        // A lower generation is an earlier one, unless the present one has been known for long: then the sender
+        // restarted with a clock that was set back.
         if generation.wrapping_sub(latest.generation) > u32::MAX / 2
             && now.since(latest.since) < MAX_DATAGRAM_DELAY
         {
@@ -357,7 +377,7 @@
         Ok(())
     }
 
-    /// A keeper's totals.
+    /// Processes an owner's reply with totals.
     pub fn receive_totals(
         &mut self,
         now: Moment,
@@ -374,7 +394,7 @@
             let is_it =
                 |it: &(&CounterKey, &PendingQuery)| *it.0 & KEY_MASK == reported && it.1.owner == from;
             let found = self.pending.iter().find(is_it).map(|(key, query)| (*key, query.sent, query.serial));
-            // A second answer, or one to a sum that is not the present one, is nothing new.
+            // Ignores a repeated reply and a reply to an earlier sum.
             if let Some((key, sent, _)) = found.filter(|it| !serial_precedes(serial, it.2)) {
                 self.response_time_s += 0.1 * (now.since(sent).secs() - self.response_time_s);
                 self.finish(key, Some((total, added)));
@@ -383,7 +403,7 @@
         Ok(())
     }
 
-    /// Repeats what is unanswered, gives up what was repeated enough, forgets what is old.
+    /// Retries overdue queries, ends those without tries left, and deletes expired counts.
     pub fn run_due(&mut self, now: Moment, liveness: &impl OwnerLiveness) {
         let overdue: Vec<CounterKey> =
             self.pending.iter().filter(|(_, query)| now >= query.retry_at).map(|it| *it.0).collect();
@@ -408,16 +428,18 @@
         }
     }
 
+    /// Returns when [`Self::run_due`] must be called next, in active time; `None` while no query is pending.
     pub fn next_due_at(&self) -> Option<Moment> {
         self.pending.values().map(|query| query.retry_at).min()
     }
 
-    /// Totals that came, or none for those that will not.
+    /// Returns the outcomes since the last call.
     pub fn take_outcomes(&mut self) -> Vec<(CounterKey, AddOutcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Datagrams' bodies to be sent: sums asked for at one time go to their keeper together.
+    /// Returns the frame bodies to send, each with receiver and kind. Queries queued for the same owner share a
+    /// datagram.
     pub fn take_datagrams(&mut self) -> Vec<(MemberIndex, FrameKind, Vec<u8>)> {
         for (owner, keys) in std::mem::take(&mut self.queued) {
             for part in keys.chunks(MAX_UPDATES_PER_DATAGRAM) {
@@ -437,13 +459,13 @@
         std::mem::take(&mut self.datagrams)
     }
 
-    /// Names kept for others and of its own: what memory goes by.
+    /// Returns the number of owned counts and of own sums, which determine the memory use.
     pub fn sizes(&self) -> (usize, usize) {
         (self.owned_counts.len(), self.local_sums.len())
     }
 }
 
-/// Serials count round.
+/// Returns whether serial number `a` precedes `b`, with wraparound.
 fn serial_precedes(a: u16, b: u16) -> bool {
     a != b && b.wrapping_sub(a) < u16::MAX / 2
 }
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -1,44 +1,50 @@
-//! What a datagram between limiters looks like from outside: of which kind it is, and whether it is whole. Who sent it
-//! is told by the address that it came from, and held against the check sum.
+//! Framing of datagrams between gateways: kind, checksum and body. The sender is identified by its source address,
+//! which the checksum verifies.
 
 use crate::MemberIndex;
 use std::fmt::{Display, Formatter};
 
-/// The protocol page's limit: a longer one voids the run.
+/// Largest datagram that the protocol allows between gateways, in bytes; a longer one makes a test run invalid.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// Size of the frame header: one byte of version and kind, four bytes of checksum.
 pub const HEADER_BYTES: usize = 5;
-/// What a datagram holds besides its head. A byte is paid for by whoever sends it.
+/// Largest body of a frame. Every byte sent counts as cost of the sender.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
-/// The upper half of the first byte; the kind is the lower.
+/// Protocol version, in the upper four bits of the first byte; the lower four hold the kind.
 const VERSION: u8 = 0xf0;
 
+/// What the body of a frame contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameKind {
-    /// Probes, answers and news of members.
+    /// Probes, acknowledgements and gossip about members.
     Membership,
-    /// A member tells the keeper of some counts its own sums.
+    /// A member's own sums, sent to the owner of these counts.
     CountUpdates,
-    /// The keeper tells the totals.
+    /// The totals with which the owner of the counts replies.
     CountTotals,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
+    /// Shorter than a frame header.
     TooShort,
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Another version of this protocol, or none of it.
+    /// Another version of this protocol, or a different protocol.
     UnsupportedVersion,
-    /// Its check sum does not fit: garbled on the way, of another fleet, or not from whom its address says.
+    /// Corrupted in transit, sent within a deployment of another size, or by another member than its source address
+    /// says.
     ChecksumMismatch,
+    /// The kind is not one of [`FrameKind`].
     UnknownKind,
-    /// From an address that is no member's, or this limiter's own.
+    /// The source address belongs to no member, or to this gateway itself.
     UnknownSender,
-    /// Whole, but its content makes no sense.
+    /// The checksum is correct, but the body cannot be decoded or holds invalid values.
     Malformed,
-    /// Of an earlier life of its sender, or long overtaken.
+    /// Sent by an earlier generation of the sender, or far behind its latest datagram.
     Stale,
-    /// More than this limiter takes in.
+    /// Above the number of datagrams or counts that this gateway accepts.
     RateLimited,
 }
 
@@ -58,14 +64,17 @@
     }
 }
 
+/// A datagram without its header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
+    /// What the body contains.
     pub kind: FrameKind,
+    /// The encoded content, at most [`MAX_BODY_BYTES`] when it is sent.
     pub body: &'a [u8],
 }
 
-/// The check sum also covers the size of the fleet and the sender: limiters of another deployment are not understood by
-/// accident, nor is one whose list has others at its places.
+/// Returns the CRC-32 of kind and body. It also covers the number of members and the sender's index, so that datagrams
+/// of another deployment, or of a gateway whose list has a different order, are rejected.
 fn checksum(member_count: u16, from: MemberIndex, kind: u8, body: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new_with_initial(u32::from(member_count) << 16 | u32::from(from));
     sum.update(&[kind]);
@@ -74,7 +83,8 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The body is cut at what fits; its makers keep to [`MAX_BODY_BYTES`].
+    /// Encodes the frame as member `from` sends it. A body above [`MAX_BODY_BYTES`], which no caller builds, is
+    /// truncated.
     pub fn encode(&self, member_count: u16, from: MemberIndex) -> Vec<u8> {
         let body = &self.body[..self.body.len().min(MAX_BODY_BYTES)];
         let kind = VERSION
@@ -90,7 +100,7 @@
         out
     }
 
-    /// Reads a datagram that came from that member's address.
+    /// Decodes a datagram that arrived from the address of member `from`.
     pub fn decode(bytes: &'a [u8], member_count: u16, from: MemberIndex) -> Result<Self, RejectReason> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(RejectReason::TooLong);
@@ -116,7 +126,7 @@
     }
 }
 
-/// For those who look on from outside: whether a datagram tells counts.
+/// Returns whether a datagram carries counts, judged by its first byte alone; for tools that observe the traffic.
 pub fn is_count_frame(bytes: &[u8]) -> bool {
     bytes.first().is_some_and(|kind| matches!(kind ^ VERSION, 2 | 3))
 }
--- a/crates/membership/src/frame/tests.rs
+++ b/crates/membership/src/frame/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_byte_is_guarded() {
+fn a_changed_byte_another_sender_or_another_member_count_is_rejected() {
     let frame = Frame { kind: FrameKind::CountUpdates, body: b"some body" };
     let bytes = frame.encode(300, 258);
     assert_eq!(Frame::decode(&bytes, 300, 258), Ok(frame));
@@ -20,7 +20,7 @@
     assert_eq!(Frame::decode(&[VERSION; MAX_DATAGRAM_BYTES + 1], 300, 258), Err(RejectReason::TooLong));
     let full = Frame { body: &[7; 400], ..frame }.encode(300, 258);
     assert_eq!(full.len(), MAX_DATAGRAM_BYTES);
-    // Another kind, whole: from a later version perhaps.
+    // A correct checksum with an unknown kind, as a later version might send.
     let mut other = frame.encode(300, 258);
     other[0] = VERSION | 9;
     let sum = checksum(300, 258, VERSION | 9, b"some body").to_be_bytes();
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,30 +1,31 @@
-//! Who a member is: its place in the list, and which of its lives.
+//! Identity of a member: its index in the list and its generation.
 
 use crate::MemberIndex;
 
-/// Lives are told in so many bits: milliseconds of Unix time until the year 10889.
+/// Width of a generation on the wire: enough for milliseconds of Unix time until the year 10889.
 pub const GENERATION_BITS: u32 = 48;
-/// A member in no zone, or of a zone that is not known.
+/// Value of [`Identity::zone`] for a member without a zone or with an unknown one.
 pub const NO_ZONE: u8 = u8::MAX;
 
-/// A member in one of its lives. A restart at the same address is another life: news of the former one, however late,
-/// must not end the present one.
+/// One generation of a member. A restart at the same address begins a new generation, so that a late report about the
+/// previous one cannot declare the running process failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
+    /// Position in the deployment's list.
     pub index: MemberIndex,
-    /// Unix time of its start in milliseconds; raised where others know a later one.
+    /// Start time in milliseconds of Unix time; raised if other members know a later generation of this one.
     pub generation: u64,
-    /// Its place among the deployment's zones.
+    /// Index of its zone among the deployment's zones, or [`NO_ZONE`].
     pub zone: u8,
 }
 
 impl Identity {
-    /// Somebody at that place, in whichever life.
+    /// Addresses a member whose generation is not known.
     pub fn any_generation(index: MemberIndex) -> Self {
         Self { index, generation: 0, zone: NO_ZONE }
     }
 
-    /// The same member in a life after `generation`.
+    /// Returns the same member with the generation that follows `generation`.
     pub fn with_generation_after(self, generation: u64) -> Self {
         Self { generation: (generation + 1).min((1 << GENERATION_BITS) - 1), ..self }
     }
@@ -33,7 +34,7 @@
 impl foca::Identity for Identity {
     type Addr = MemberIndex;
 
-    /// One that was declared failed while it lived goes on as a new life.
+    /// Returns the identity under which a member continues that was declared failed while it ran.
     fn renew(&self) -> Option<Self> {
         Some(self.with_generation_after(self.generation))
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,8 @@
-//! Limiters that know each other: who is there, who failed, what to do while they disagree, and counts told among
-//! them while the shared counter cannot serve. Pure: no sockets, time and chance handed in. What is to be sent is
-//! taken out as datagrams, what came in is handed in; `docs/membership.md` tells what it is for.
+//! Group membership of the gateways: failure detection, the view of each member, and request counts that the members
+//! keep among themselves while the shared counter is unavailable.
+//!
+//! The crate does no I/O: the caller passes in the time, the random seed and received datagrams, and sends the
+//! datagrams that [`node::MembershipNode`] returns. `docs/membership.md` describes the purpose and the protocol.
 
 pub mod clock;
 mod codec;
@@ -13,5 +15,5 @@
 pub mod token_bucket;
 pub mod view;
 
-/// A limiter by its place in the deployment's list, from 0.
+/// Position of a member in the deployment's list of gateways, from 0.
 pub type MemberIndex = u16;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,5 +1,6 @@
-//! Probing, suspicion and refutation, and the spread of news: SWIM, as the library `foca` keeps it. Ours on top: lives
-//! that survive a restart at the same address, partings, time that was slept through, and the view.
+//! Failure detection and gossip with the SWIM protocol, as implemented by the library `foca`. This module adds
+//! generations that tell restarts at the same address apart, announced departures, tolerance of pauses of this process,
+//! and the view.
 
 use crate::clock::{ActiveClock, MAX_ADVANCE};
 use crate::codec::{encode_suspicion_probe, CodecError, IdentityCodec, ParsedMessage};
@@ -20,43 +21,50 @@
 
 /// Each datagram begins with the digest of its sender's view.
 const DIGEST_BYTES: usize = 4;
+/// Largest `foca` message that fits into a frame.
 const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES - DIGEST_BYTES;
-/// Each member probes one other in so long.
+/// Interval at which each member probes one other.
 const PROBE_PERIOD: Duration = Duration::from_millis(1_000);
-/// An answer that takes longer than this is asked for through others: some ten times the slowest way of the
-/// deployments, there and back, so that a loaded machine is not taken for a lost datagram.
+/// How long a direct probe may stay unacknowledged before indirect probes are sent: about ten times the longest round
+/// trip of the deployments, so that a loaded machine is not mistaken for a lost datagram.
 const ACK_TIMEOUT: Duration = Duration::from_millis(350);
-/// So many others are asked to try.
+/// Number of members that are asked to probe indirectly.
 const INDIRECT_PROBES: usize = 3;
-/// A suspect has so long to speak up, times the decimal logarithm of the fleet's size: news goes round in a time that
-/// grows like that. With 30% loss a fleet of twenty had no false failure in the test of that name; half as long had.
+/// How long a suspect may refute the suspicion, multiplied by the decimal logarithm of the number of members, because
+/// the time that gossip needs to reach all members grows likewise. With 30% loss and twenty members the test
+/// `loss_duplication_and_reordering_cause_no_false_failure` saw no false failure; with half this timeout it did.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A probe unanswered after these parts of [`ACK_TIMEOUT`] is sent again before others are asked: one lost datagram costs one
-/// more, and what goes through others costs a dozen.
+/// An unacknowledged probe is sent again after these fractions of [`ACK_TIMEOUT`], before indirect probes: a resent
+/// probe costs one datagram, indirect probes cost a dozen.
 const PROBE_RESEND_FRACTIONS: [f64; 2] = [0.34, 0.67];
-/// Nobody is given up that was heard itself so lately, nor before it was asked once more, itself and through others, so often and so
-/// far apart. A limiter that reaches few of the others else gives up members whose word that they live did not come
-/// round to it.
+/// A member that was heard directly within this time is not declared failed. Any other suspect first gets
+/// [`FINAL_PROBES`] more probes, direct and indirect. Without this, a gateway that reaches only a few members declares
+/// those failed whose refutations did not reach it.
 const RECENTLY_HEARD: Span = Span::from_millis(2_000);
+/// Number of rounds of final probes before a suspect is declared failed.
 const FINAL_PROBES: u32 = 4;
+/// Time between two rounds of final probes.
 const FINAL_PROBE_INTERVAL: Span = Span::from_millis(450);
+/// Number of members through which each round also probes indirectly.
 const FINAL_PROBE_RELAYS: usize = 4;
-/// News goes out beside probes so often, while there is any.
+/// Interval at which pending gossip is sent apart from probes.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(500);
-/// Each member passes a piece of news on so often, times the logarithm of the fleet's size.
+/// How many times each member transmits an update, multiplied by the decimal logarithm of the number of members.
 const TRANSMISSIONS_FACTOR: f64 = 5.0;
-/// One of those held to be failed is spoken to so often: else two halves that each believe the other failed would
-/// never meet again.
+/// Interval at which one failed member is sent an announcement. Otherwise two partitions that each believe the other
+/// failed would never merge again.
 const ANNOUNCE_TO_FAILED_PERIOD: Duration = Duration::from_millis(1_000);
-/// One that nobody has told of is spoken to so often, at first and at last, by steps of a quarter. The answer names some
-/// twenty others and is as long as a datagram may be: a hundred limiters know nearly all after ten.
+/// First interval between announcements to members in state unknown; it grows by a quarter each time up to
+/// [`MAX_ANNOUNCE_INTERVAL`]. The reply fills a datagram and names about twenty members, so that among a hundred
+/// gateways each knows nearly all after ten announcements.
 const MIN_ANNOUNCE_INTERVAL: Span = Span::from_millis(200);
+/// Longest interval between announcements to unknown members.
 const MAX_ANNOUNCE_INTERVAL: Span = Span::from_millis(8_000);
-/// A life further ahead of this limiter's clock than this is no clock's error any more; taken for true, it would
-/// lock the member out whose life it claims to be.
+/// A generation further ahead of this gateway's clock is rejected, since no clock is wrong by that much. If it were
+/// accepted, the member that it names could no longer take part.
 const MAX_GENERATION_AHEAD: Span = Span::from_millis(24 * 3_600 * 1_000);
 
-/// Who has left, by the life that did: told along with other news.
+/// Members that announced their departure, with the generation that left; spread by gossip.
 #[derive(Clone, Default)]
 struct Departures {
     member_count: MemberIndex,
@@ -69,6 +77,7 @@
     }
 }
 
+/// Announcement that one generation of a member leaves.
 struct Departure {
     index: MemberIndex,
     generation: u64,
@@ -100,7 +109,7 @@
 
     fn receive_item(&mut self, data: &[u8], _: Option<&Identity>) -> Result<Option<Departure>, CodecError> {
         let departure = Departure::decode(data)?;
-        // A number beyond the list would fill the memory.
+        // Indexes beyond the list are rejected, since each would take memory.
         if departure.index >= self.member_count {
             return Err(CodecError::TooShort);
         }
@@ -112,7 +121,7 @@
     }
 }
 
-/// What the library wants done.
+/// Datagrams and timers that `foca` requested and that are not yet handled.
 #[derive(Default)]
 struct PendingEffects {
     sends: Vec<(MemberIndex, Vec<u8>)>,
@@ -131,28 +140,33 @@
     }
 }
 
-/// A member by the life and incarnation in which it is suspected.
+/// A suspected member, with the SWIM incarnation in which it is suspected.
 type Suspect = (Identity, u16);
 
+/// Progress of a suspicion towards a failure.
 struct Suspicion {
     since: Moment,
-    /// How often it was asked once more.
+    /// Rounds of final probes sent so far.
     final_probes: u32,
-    /// Not before then is it looked at again.
+    /// The suspicion is not checked again before this moment.
     next_check: Moment,
 }
 
+/// What happens when a timer expires.
 enum TimerAction {
+    /// Passes the timer to `foca`.
     Foca(Timer<Identity>),
+    /// Sends another final probe to the suspect or declares it failed.
     CheckSuspect(Suspect),
-    /// A probe to that member, sent then, goes once more unless it has been heard since.
+    /// Sends the probe (target, time of the first transmission, body) again unless the target was heard since.
     ResendProbe(MemberIndex, Moment, Vec<u8>),
 }
 
+/// Failure detector: `foca` with the timers, datagrams and view around it.
 pub struct Members {
     foca: Foca<Identity, IdentityCodec, ChaCha8Rng, Departures>,
     effects: PendingEffects,
-    /// By the time awake, then in the order they were wished for.
+    /// Ordered by active time, then by order of creation.
     timers: BTreeMap<(Moment, u64), TimerAction>,
     next_timer_id: u64,
     clock: ActiveClock,
@@ -174,7 +188,7 @@
     f64::from(member_count.max(10)).log10()
 }
 
-/// How long a suspect has to speak up.
+/// Returns the suspicion timeout; each recent pause of this process extends it by its basic length.
 fn suspicion_timeout(member_count: MemberIndex, recent_pauses: u32) -> Duration {
     SUSPICION_TIMEOUT.mul_f64(log_size(member_count) * f64::from(1 + recent_pauses))
 }
@@ -200,7 +214,8 @@
 }
 
 impl Members {
-    /// Number `own` of `of`; `zone` is its place among the zones. The life is the Unix time that `now` tells.
+    /// Starts member `own_index` of `member_count` in the zone with index `zone`. Its generation is `now` in
+    /// milliseconds of Unix time.
     pub fn start(
         now: Moment,
         own_index: MemberIndex,
@@ -238,40 +253,45 @@
         }
     }
 
+    /// Returns the view of all members.
     pub fn view(&self) -> &MembershipView {
         &self.view
     }
 
+    /// Returns the view for modification.
     pub fn view_mut(&mut self) -> &mut MembershipView {
         &mut self.view
     }
 
+    /// Returns this member's present identity.
     pub fn identity(&self) -> Identity {
         *self.foca.identity()
     }
 
-    /// The time awake; `slept` of it in all was not.
+    /// Takes a reading of the system clock and returns the active time; adapts the suspicion timeout to recent pauses.
     pub fn active_time(&mut self, now: Moment) -> Moment {
         let active_now = self.clock.advance(now);
         if self.clock.recent_pauses() != self.recent_pauses {
             self.recent_pauses = self.clock.recent_pauses();
-            // Fails only for figures that must not change, and these do not.
+            // Errs only if settings differ that `foca` can't change at run time; these stay the same.
             let _ =
                 self.foca.set_config(config(self.view.statuses().len() as MemberIndex, self.recent_pauses));
         }
         active_now
     }
 
-    /// When a moment of the time awake comes by the clock.
+    /// Converts a moment of active time to system time.
     pub fn wall_time(&self, active_now: Moment) -> Moment {
         self.clock.wall_time(active_now)
     }
 
+    /// Returns the total time that was excluded from active time as pauses.
     pub fn paused_time(&self) -> Span {
         self.clock.total_paused
     }
 
-    /// Takes in what a member's datagram holds besides its head.
+    /// Processes the body of a membership frame from member `from`. Errs if the body is malformed, names another
+    /// sender, or comes from an earlier generation of the sender.
     pub fn receive(&mut self, now: Moment, from: MemberIndex, body: &[u8]) -> Result<(), RejectReason> {
         let active_now = self.active_time(now);
         let (digest, body) = body.split_first_chunk::<DIGEST_BYTES>().ok_or(RejectReason::Malformed)?;
@@ -290,7 +310,7 @@
         if let Some(later) =
             identities.iter().filter(|it| it.index == own.index && it.generation > own.generation).max()
         {
-            // A clock that was set back: the others know a life of this place that looks later than this one.
+            // This gateway's clock was set back before the restart: other members know a later generation of it.
             let next = own.with_generation_after(later.generation);
             if !self.left && self.foca.change_identity(next, &mut self.effects).is_err() {
                 return Err(RejectReason::Malformed);
@@ -301,18 +321,19 @@
         let body = message.with_doubted_failures(|failed| self.doubts_failure(active_now, failed));
         let body = body.map_err(|_| RejectReason::Malformed)?;
         let handled = self.foca.handle_data(&body, &mut self.effects);
-        // To a datagram for a former life the library says nothing, and its sender would hold this member for silent until
-        // news of the present life came round.
+        // `foca` ignores a datagram addressed to an earlier generation, and its sender would believe that this member
+        // does not respond until gossip about the present generation arrived. So this member announces itself to the
+        // sender.
         let for_earlier_generation =
             identities[1].index == own.index && identities[1].generation < own.generation;
         if for_earlier_generation && identities[1] != Identity::any_generation(own.index) && !self.left {
-            // Only the room of a datagram could fail it.
+            // Errs only if the message does not fit into a datagram.
             let _ = self.foca.announce(identities[0], &mut self.effects);
         }
         self.apply_effects(active_now);
         match handled {
             Ok(()) => {}
-            // Told by a member that asks about itself: nothing to do with it, and nothing spoilt.
+            // A member requested an indirect probe of itself, or this member has left: harmless.
             Err(foca::Error::IndirectForOurselves | foca::Error::NotConnected) => {}
             Err(_) => return Err(RejectReason::Malformed),
         }
@@ -323,9 +344,9 @@
         Ok(())
     }
 
-    /// Whether word that a member failed is no more than a suspicion to this limiter. By the protocol such word is final;
-    /// it may come from the other side of a cut that has just healed, or from a limiter that reaches few, about a member
-    /// that was heard here all along. So it is taken about those only whose time to speak up is over here too.
+    /// Returns whether a reported failure is treated as a suspicion only. In SWIM such a report is final, but it may
+    /// come from the other side of a partition that has just healed, or from a gateway that reaches few members, about
+    /// a member that this gateway hears. So it is accepted only once the suspicion timeout has expired here as well.
     fn doubts_failure(&self, active_now: Moment, failed: &foca::Member<Identity>) -> bool {
         let id = failed.id();
         let status = self
@@ -347,8 +368,8 @@
         to_span(suspicion_timeout(self.view.statuses().len() as MemberIndex, self.recent_pauses))
     }
 
-    /// Takes in members that nobody has told of yet, without passing it on: a fleet that begins at once would else tell
-    /// everybody of everybody many times over, which cost more than all other datagrams of a day together.
+    /// Adds members in state unknown that a message reports alive, without gossiping them further. When all gateways
+    /// start at once, gossiping every member to every other cost more datagrams than a day of normal operation.
     fn apply_unknown_members(&mut self, alive: impl Iterator<Item = foca::Member<Identity>>) {
         let new = |member: &foca::Member<Identity>| {
             let status = self.view.status(member.id().index);
@@ -357,29 +378,30 @@
         };
         let new: Vec<foca::Member<Identity>> = alive.filter(new).collect();
         if !new.is_empty() {
-            // No codec is at work here that could fail.
+            // Cannot err: nothing is encoded or decoded here.
             let _ = self.foca.apply_many(new.into_iter(), false, &mut self.effects);
         }
     }
 
-    /// A datagram of any kind came from a member: it is there.
+    /// Notes that a datagram of any kind arrived from a member.
     pub fn record_datagram(&mut self, active_now: Moment, from: MemberIndex) {
         self.view.record_datagram(from, active_now);
     }
 
-    /// Sees to what is due. To be called when [`Self::next`] says, and after input.
+    /// Runs all expired timers. To be called at [`Self::next_due_at`] and after input.
     pub fn run_due(&mut self, now: Moment) {
         let active_now = self.active_time(now);
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= active_now) {
             match entry.remove() {
-                // The library would give it up at once; or, where it was refuted meanwhile, tell a living member that it is
-                // held to be failed, and that one would begin a new life.
+                // `foca` itself would declare the suspect failed at once. If the suspicion was refuted meanwhile, it
+                // would tell a live member that it is considered failed, which would make that member begin a new
+                // generation.
                 TimerAction::Foca(Timer::ChangeSuspectToDown { member_id, incarnation, .. }) => {
                     self.check_suspect(active_now, (member_id, incarnation));
                 }
                 TimerAction::CheckSuspect(suspect) => self.check_suspect(active_now, suspect),
                 TimerAction::Foca(timer) => {
-                    // Its errors are about timers that have lost their cause.
+                    // Errs only for timers that no longer apply.
                     let _ = self.foca.handle_timer(timer, &mut self.effects);
                 }
                 TimerAction::ResendProbe(to, sent, body) => {
@@ -396,11 +418,12 @@
         self.apply_effects(active_now);
     }
 
-    /// A suspect's time to speak up is over: it is asked once more, and given up when that was in vain so often.
+    /// Called after the suspicion timeout: sends a round of final probes, or declares the suspect failed if
+    /// [`FINAL_PROBES`] rounds had no reply.
     fn check_suspect(&mut self, active_now: Moment, suspect: Suspect) {
-        // Refuted meanwhile, or known to have failed.
+        // The suspicion was refuted, or the member is already failed.
         let Some(suspicion) = self.suspicions.get_mut(&suspect) else { return };
-        // Each probe in vain winds up one more timer for the same suspicion: one of them is enough.
+        // Each failed probe starts another timer for the same suspicion; only one of them is needed.
         if active_now < suspicion.next_check {
             return;
         }
@@ -409,7 +432,7 @@
         let recently_heard = heard.is_some_and(|heard| active_now.since(heard) < RECENTLY_HEARD);
         if !recently_heard && suspicion.final_probes == FINAL_PROBES {
             let failed = foca::Member::new(id, incarnation, foca::State::Down);
-            // Only the room of a datagram could fail it.
+            // Errs only if the message does not fit into a datagram.
             let _ = self.foca.apply_many(std::iter::once(failed), true, &mut self.effects);
             return;
         }
@@ -422,7 +445,7 @@
         }
     }
 
-    /// Itself, and through others.
+    /// Probes the suspect directly and through other members.
     fn send_final_probe(&mut self, suspect: &foca::Member<Identity>) {
         let others = self
             .foca
@@ -442,21 +465,21 @@
         self.timers.insert((at, self.next_timer_id), action);
     }
 
-    /// Speaks to somebody that nobody has told of.
+    /// Announces this member to a random member in state unknown.
     fn announce_to_unknown(&mut self, active_now: Moment) {
         let unknown = self.view.peers().filter(|(_, status)| status.state == MemberState::Unknown);
         let Some((index, _)) = unknown.choose(&mut self.rng) else {
             self.announce_at = active_now + MAX_ANNOUNCE_INTERVAL;
             return;
         };
-        // Set apart by chance: a fleet that starts at once would else speak in one breath.
+        // Random jitter: gateways that start together must not all announce at the same moment.
         self.announce_at = active_now + self.announce_interval.times(0.5 + self.rng.random::<f64>());
         self.announce_interval = self.announce_interval.times(1.25).min(MAX_ANNOUNCE_INTERVAL);
-        // Only the room of a datagram could fail it.
+        // Errs only if the message does not fit into a datagram.
         let _ = self.foca.announce(Identity::any_generation(index), &mut self.effects);
     }
 
-    /// When something is due at the latest.
+    /// Returns when [`Self::run_due`] must be called next, in system time.
     pub fn next_due_at(&self) -> Moment {
         let first = self.timers.first_key_value().map_or(self.announce_at, |it| it.0 .0);
         self.clock
@@ -464,32 +487,34 @@
             .min(self.clock.wall_time(Moment::default()) + MAX_ADVANCE)
     }
 
-    /// This limiter goes, and says so.
+    /// Announces that this member leaves.
     pub fn leave(&mut self, now: Moment) {
         let active_now = self.active_time(now);
         if std::mem::replace(&mut self.left, true) {
             return;
         }
         let Identity { index, generation, .. } = self.identity();
-        // Both fail only for want of room, and a parting is short.
+        // Both err only if the message does not fit into a datagram, and a departure is short.
         let _ = self.foca.add_broadcast(&Departure { index, generation }.encode());
         let _ = self.foca.leave_cluster(&mut self.effects);
         self.apply_effects(active_now);
     }
 
-    /// What is to be sent: to whom, and the bodies of their datagrams.
+    /// Returns the frame bodies to send, each with its receiver.
     pub fn take_datagrams(&mut self) -> Vec<(MemberIndex, Vec<u8>)> {
         let digest = self.view.digest().to_be_bytes();
         let whole = |(to, body): (MemberIndex, Vec<u8>)| (to, [&digest[..], &body].concat());
         std::mem::take(&mut self.effects.sends).into_iter().map(whole).collect()
     }
 
+    /// Schedules the timers that `foca` requested and copies its member states to the view.
     fn apply_effects(&mut self, active_now: Moment) {
         for (after, timer) in std::mem::take(&mut self.effects.timers) {
             let after = to_span(after);
             let probes = matches!(timer, Timer::SendIndirectProbe { .. });
             self.schedule(active_now + after, TimerAction::Foca(timer));
-            // With the probe itself comes the wish to ask others later.
+            // `foca` requests the timer for indirect probes together with the direct probe, the last datagram to be
+            // sent.
             if let Some((to, body)) = self.effects.sends.last().filter(|_| probes).cloned() {
                 for part in PROBE_RESEND_FRACTIONS {
                     self.schedule(
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! A limiter's place among the others: datagrams in, datagrams out, a view, and counts.
+//! One gateway's part in the group: consumes and produces datagrams, keeps the view and the peer counts.
 
 use crate::clock::MAX_ADVANCE;
 use crate::counting::{AddOutcome, CounterKey, OwnerLiveness, PeerCounts};
@@ -12,31 +12,35 @@
 use fennelgauge::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// What a limiter needs to know to take its place.
+/// Settings of a [`MembershipNode`].
 #[derive(Clone, Copy, Debug)]
 pub struct NodeConfig {
+    /// Index of this gateway in the deployment's list.
     pub own_index: MemberIndex,
-    /// Members in the list, this limiter included.
+    /// Number of gateways in the list, this one included.
     pub member_count: MemberIndex,
-    /// Its place among the zones.
+    /// Index of this gateway's zone, if it has one.
     pub zone: Option<u8>,
-    /// Datagrams a second that a limiter takes in.
+    /// Datagrams per second that each gateway accepts.
     pub max_datagrams_per_s: f64,
-    /// Whether counts are told among members.
+    /// Whether the members keep counts among themselves.
     pub peer_counting: bool,
+    /// Seed of the random choices of the failure detector.
     pub seed: u64,
 }
 
-/// Shares of what a limiter takes in a second: each is sent about as much as it sends. A count costs two datagrams,
-/// there and back; probes and news have what is left, of which they need a tenth on a quiet day.
+/// Budget of count queries as a fraction of `max_datagrams_per_s`; on average, each gateway receives as much as it
+/// sends. A query costs two datagrams. Probes and gossip use the rest, of which they need a tenth in normal operation.
 const COUNT_SHARE: f64 = 0.4;
-/// While more than this part of what it takes in comes in already, a limiter asks for no counts: what is beyond would be
-/// dropped at its own door, answers first.
+/// While the inflow exceeds this fraction of `max_datagrams_per_s`, a gateway sends no count queries: it would drop the
+/// excess on arrival, and the replies first.
 const MAX_INFLOW_FOR_COUNTS: f64 = 0.85;
-/// Over which what comes in is averaged, in seconds.
+/// Time constant of the average of the inflow, in seconds.
 const INFLOW_AVERAGING_S: f64 = 0.7;
+/// Budget of probes and gossip as a fraction of `max_datagrams_per_s`.
 const GOSSIP_SHARE: f64 = 0.5;
 
+/// The membership of one gateway: failure detector, peer counts and rate limits.
 pub struct MembershipNode {
     config: NodeConfig,
     members: Members,
@@ -45,10 +49,11 @@
     count_budget: TokenBucket,
     receive_budget: TokenBucket,
     rejected: BTreeMap<RejectReason, u64>,
-    /// Datagrams and bytes, sent and taken in.
+    /// Number of datagrams and bytes sent since the start.
     pub sent: (u64, u64),
+    /// Number of datagrams and bytes received since the start, rejected ones included.
     pub received: (u64, u64),
-    /// Datagrams a second of late, as of a moment awake.
+    /// Decaying average of received datagrams per second, and the active time at which it was computed.
     inflow: (f64, Moment),
     out: Vec<(MemberIndex, Vec<u8>)>,
     left: bool,
@@ -56,14 +61,15 @@
 
 impl OwnerLiveness for Members {
     fn live_generation(&self, index: MemberIndex) -> Option<u64> {
-        // One that is suspected is passed over at once: the suspicion goes round within a second, and a count kept at
-        // two places for as long says too little, while one kept nowhere says nothing.
+        // A suspect owns no counts from the first moment. Until the suspicion has spread, for about a second, a count
+        // may have two owners and be too low; with an owner that does not respond there would be no total at all.
         let status = self.view().status(index)?;
         matches!(status.state, MemberState::Alive | MemberState::Unknown).then_some(status.generation)
     }
 }
 
 impl MembershipNode {
+    /// Starts the gateway's membership at `now`, which also determines its generation.
     pub fn start(now: Moment, config: NodeConfig) -> Self {
         let members = Members::start(now, config.own_index, config.member_count, config.zone, config.seed);
         let budget = |share: f64| {
@@ -94,7 +100,8 @@
         }
     }
 
-    /// A datagram has come, from the address of that member; none: of no member. What is refused is counted.
+    /// Processes a datagram that arrived from the address of member `from`, or from an unknown address. Errs if it is
+    /// dropped, and counts the reason.
     pub fn receive(
         &mut self,
         now: Moment,
@@ -120,7 +127,7 @@
     ) -> Result<(), RejectReason> {
         let from = from.filter(|from| *from != self.config.own_index).ok_or(RejectReason::UnknownSender)?;
         let frame = Frame::decode(bytes, self.config.member_count, from)?;
-        // A member gone mad must not take all of this limiter's time.
+        // A malfunctioning member must not use up this gateway's CPU time.
         if !self.receive_budget.try_take(active_now) {
             return Err(RejectReason::RateLimited);
         }
@@ -134,7 +141,7 @@
         Ok(())
     }
 
-    /// Sees to what is due; to be called when [`Self::next`] says, and after input.
+    /// Runs all expired timers. To be called at [`Self::next_due_at`] and after input.
     pub fn run_due(&mut self, now: Moment) {
         self.members.run_due(now);
         let active_now = self.members.active_time(now);
@@ -142,12 +149,14 @@
         self.collect(active_now);
     }
 
+    /// Returns when [`Self::run_due`] must be called next.
     pub fn next_due_at(&self, now: Moment) -> Moment {
         let next = self.members.next_due_at().min(now + MAX_ADVANCE);
         self.counts.next_due_at().map_or(next, |at| self.members.wall_time(at).min(next))
     }
 
-    /// Whether members can keep counts now: they may, some are heard, and the budget has room.
+    /// Returns whether a peer count can be queried now: the feature is enabled, this gateway is not isolated or
+    /// leaving, and the budget allows it.
     pub fn can_count(&mut self, now: Moment) -> bool {
         let active_now = self.members.active_time(now);
         let is_saturated = self.inflow(active_now) > MAX_INFLOW_FOR_COUNTS * self.config.max_datagrams_per_s;
@@ -158,20 +167,21 @@
             && !self.is_isolated(active_now)
     }
 
-    /// Adds to a count among members; its total, or word that none will come, comes among [`Self::results`].
+    /// Adds to a peer count. The total, or `None` if there is no reply, is returned later by [`Self::take_outcomes`].
     pub fn add_to_count(&mut self, now: Moment, key: CounterKey, amount: f64, conditional: ConditionalAdd) {
         let active_now = self.members.active_time(now);
         self.count_budget.try_take(active_now);
         self.counts.add(active_now, key, amount, conditional, &self.members);
     }
 
+    /// Decays the average of the inflow to `active_now` and returns it.
     fn inflow(&mut self, active_now: Moment) -> f64 {
         let decayed = self.inflow.0 * (-active_now.since(self.inflow.1).secs() / INFLOW_AVERAGING_S).exp();
         self.inflow = (decayed, active_now);
         decayed
     }
 
-    /// So few hear this limiter that a total among members would say nothing.
+    /// Returns whether this gateway or its zone is partitioned, so that a total among members would be meaningless.
     fn is_isolated(&self, active_now: Moment) -> bool {
         matches!(
             self.members.view().reachability(active_now),
@@ -179,17 +189,18 @@
         )
     }
 
+    /// Returns the outcomes of [`Self::add_to_count`] since the last call.
     pub fn take_outcomes(&mut self) -> Vec<(CounterKey, AddOutcome)> {
         self.counts.take_outcomes()
     }
 
-    /// Among how many a customer's quota is shared; see [`shares::quota_sharers`].
+    /// Returns among how many members a customer's quota is divided; see [`shares::quota_sharers`].
     pub fn quota_sharers(&mut self, now: Moment, first: u32, size: f64) -> f64 {
         let active_now = self.members.active_time(now);
         shares::quota_sharers(self.members.view(), active_now, first, size)
     }
 
-    /// This limiter goes, and says so; nothing is asked of it any more.
+    /// Announces that this gateway leaves; afterwards [`Self::can_count`] returns false.
     pub fn leave(&mut self, now: Moment) {
         self.left = true;
         self.members.leave(now);
@@ -197,11 +208,12 @@
         self.collect(active_now);
     }
 
+    /// Moves the datagrams of the failure detector and of the counts to the output.
     fn collect(&mut self, active_now: Moment) {
         let own_index = self.config.own_index;
         let frame = |kind, body: &[u8]| Frame { kind, body }.encode(self.config.member_count, own_index);
         for (to, body) in self.members.take_datagrams() {
-            // What the budget does not allow is as if lost on the way.
+            // A datagram above the budget is dropped, as if lost in transit.
             if to != own_index && self.gossip_budget.try_take(active_now) {
                 self.out.push((to, frame(FrameKind::Membership, &body)));
             }
@@ -211,7 +223,7 @@
         }
     }
 
-    /// What is to be sent now: to whom, and the whole datagram.
+    /// Returns the datagrams to send now, each with its receiver.
     pub fn take_datagrams(&mut self, now: Moment) -> Vec<(MemberIndex, Vec<u8>)> {
         let active_now = self.members.active_time(now);
         self.collect(active_now);
@@ -221,55 +233,59 @@
         out
     }
 
+    /// Returns the view of all members.
     pub fn view(&self) -> &MembershipView {
         self.members.view()
     }
 
+    /// Returns which part of the group is unreachable from this gateway.
     pub fn reachability(&mut self, now: Moment) -> Reachability {
         let active_now = self.members.active_time(now);
         self.members.view().reachability(active_now)
     }
 
-    /// How many members hold another view, and for how long one has.
+    /// Returns how many live members have a different view, and the longest time for which one of them has.
     pub fn disagreement(&mut self, now: Moment) -> (usize, Span) {
         let active_now = self.members.active_time(now);
         self.members.view().disagreement(active_now)
     }
 
+    /// Returns the changes of members' states since the last call.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
         self.members.view_mut().take_changes()
     }
 
-    /// Datagrams dropped, by reason.
+    /// Returns the number of received datagrams that were dropped, by reason.
     pub fn rejected_datagrams(&self) -> &BTreeMap<RejectReason, u64> {
         &self.rejected
     }
 
-    /// Datagrams of its own that the budget held back, of news and of counts.
+    /// Returns how often the budgets were exhausted: of probes and gossip (datagrams dropped), and of count queries.
     pub fn over_budget(&self) -> (u64, u64) {
         (self.gossip_budget.rejected, self.count_budget.rejected)
     }
 
+    /// Returns the total time in which this process did not run, as far as noticed.
     pub fn paused_time(&self) -> Span {
         self.members.paused_time()
     }
 
-    /// Asks for totals so far, how many went again, and how many stayed unanswered.
+    /// Returns the number of count queries, of retries, and of queries without a reply.
     pub fn query_stats(&self) -> (u64, u64, u64) {
         self.counts.query_stats
     }
 
-    /// Names of counts kept for others and of its own.
+    /// Returns the number of counts that this gateway owns, and of those that it adds to.
     pub fn count_sizes(&self) -> (usize, usize) {
         self.counts.sizes()
     }
 
-    /// Its present life; another than that of its start where others had declared it failed.
+    /// Returns the present generation; it is raised when others declared this gateway failed while it ran.
     pub fn generation(&self) -> u64 {
         self.members.identity().generation
     }
 
-    /// A moment of the time awake, for ages of facts.
+    /// Returns the active time at `now`, for computing ages of statuses.
     pub fn active_time(&mut self, now: Moment) -> Moment {
         self.members.active_time(now)
     }
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -1,28 +1,31 @@
-//! What follows from the view for shares of a whole that limiters hold without asking one another.
+//! Static shares of a common limit that gateways use without coordination, and how the view affects them.
 //!
-//! What must never be exceeded (ceilings, a cold server's part) keeps the share by the deployment's full number.
-//! That a member is gone is never certain: one that is stopped, starved or cut off looks the same as one that died, and
-//! goes on with its share when it goes on. What may be exceeded at a price (quotas judged alone) may take over failed
-//! members' shares, within a bound stated in advance.
+//! Limits that must never be exceeded (concurrency ceilings, the share of a cold server) are always divided by the full
+//! number of gateways. A failure is never certain: a member that is stopped, starved of CPU or partitioned looks like
+//! one that crashed, and uses its share again as soon as it continues. Limits that may be exceeded at a price (quotas
+//! that a gateway enforces alone) may absorb the shares of failed members, up to a fixed bound.
 
 use crate::view::{MemberState, MembershipView};
 use crate::MemberIndex;
 use fennelgauge::time::{Moment, Span};
 
-/// A member has to stay failed for so long before its share is taken over: two probes' time, in which one that was
-/// only slow has spoken up. Given back at once.
+/// How long a member must stay failed before its share is redistributed: two probe periods, in which a member that was
+/// only slow refutes the failure. The share is given back immediately.
 const TAKEOVER_DELAY: Span = Span::from_millis(2_000);
-/// Shares grow by this factor at most.
+/// Largest factor by which a member's share may grow through redistribution.
 pub const MAX_SHARE_GROWTH: f64 = 2.0;
 
-/// The share of what must never be exceeded: in every partition, with any views, all in use sum to the whole at most.
+/// Returns the share of a limit that must never be exceeded, as a fraction. The shares of all members sum to at most 1
+/// in every partition and with any views.
 pub fn strict_share(member_count: MemberIndex) -> f64 {
     1.0 / f64::from(member_count.max(1))
 }
 
-/// Among how many the quota of a customer is shared, whose set begins at `first` and has `set_size` members, counted
-/// round; `now` is of the time awake. Fewer than `set_size` only where more than half of the fleet may be working:
-/// whoever sees less than that is likelier the one that is cut off.
+/// Returns among how many members a customer's quota is divided. The customer's gateway set begins at `first` and has
+/// `set_size` members, wrapping around the list; `now` is active time.
+///
+/// The result is below `set_size` only while more than half of the group may be alive: a gateway that sees fewer is
+/// more likely partitioned itself.
 pub fn quota_sharers(view: &MembershipView, now: Moment, first: u32, set_size: f64) -> f64 {
     let member_count = view.statuses().len();
     if member_count == 0 || set_size < 2.0 {
@@ -46,14 +49,15 @@
     (remaining as f64).max(set_size / MAX_SHARE_GROWTH).max(1.0)
 }
 
-/// The greatest overrun of a quota by shares alone, as a part of it, with any views whatever: each of the `set_size`
-/// members takes `MAX_SHARE_GROWTH / set_size` at most.
+/// Returns the largest possible overrun of a quota as a fraction of it, with any views: each of the `set_size` members
+/// uses at most `MAX_SHARE_GROWTH / set_size`.
 pub fn max_overrun() -> f64 {
     MAX_SHARE_GROWTH - 1.0
 }
 
-/// The same where the fleet falls into parts that each see themselves alone, `larger_side` being the part of the set on the
-/// side that has more than half of the fleet: that side takes the whole at most, the others keep their even shares.
+/// Returns the largest overrun in a clean partition, where each side sees only itself. `larger_side` is the fraction of
+/// the customer's gateway set on the side with more than half of the group: that side uses at most the whole quota, and
+/// the others keep their even shares.
 pub fn max_partition_overrun(larger_side: f64) -> f64 {
     let larger_side = larger_side.clamp(0.0, 1.0);
     ((larger_side * MAX_SHARE_GROWTH).min(1.0) + (1.0 - larger_side) - 1.0).max(0.0)
--- a/crates/membership/src/token_bucket/tests.rs
+++ b/crates/membership/src/token_bucket/tests.rs
@@ -2,7 +2,7 @@
 use fennelgauge::time::Span;
 
 #[test]
-fn a_flood_gets_the_pace_and_a_jump_of_the_clock_no_more_than_what_is_allowed_at_once() {
+fn a_flood_gets_the_configured_rate_and_a_clock_jump_at_most_one_burst() {
     let start = Moment::from_micros(1_000_000_000);
     let mut bucket = TokenBucket::new(start, 10.0, 4.0);
     let taken = (0..100_000).filter(|step| bucket.try_take(start + Span::from_micros(step * 100))).count();
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! What a limiter holds of the others, how old each fact is, and what the whole looks like from here.
+//! The state of every member as one gateway sees it, with the age of each observation, and the reachability that
+//! follows from it.
 
 use crate::identity::NO_ZONE;
 use crate::MemberIndex;
@@ -8,21 +9,24 @@
 use std::fmt::{Display, Formatter};
 use std::hash::{Hash, Hasher};
 
+/// What this gateway believes about another member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Nobody has told of it yet.
+    /// No datagram from it or about it has arrived yet.
     #[default]
     Unknown,
+    /// It answers probes.
     Alive,
-    /// It did not answer, neither this limiter nor those asked to try; it may still speak up.
+    /// It answered neither a direct nor an indirect probe; it can still refute the suspicion.
     Suspected,
+    /// It did not refute the suspicion in time.
     Failed,
-    /// It said itself that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// It may be working.
+    /// Returns whether the member may still be running.
     pub fn may_be_alive(self) -> bool {
         !matches!(self, Self::Failed | Self::Left)
     }
@@ -40,34 +44,36 @@
     }
 }
 
-/// What is known of one member; moments are of the time awake.
+/// What is known about one member. All moments are active time (see [`crate::clock::ActiveClock`]).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemberStatus {
+    /// The current belief about the member.
     pub state: MemberState,
-    /// The life that this is of, in milliseconds of Unix time.
+    /// Generation of the member that this status describes: its start time in milliseconds of Unix time.
     pub generation: u64,
-    /// Its place among the zones, where it told one.
+    /// Index of its zone, if the member has announced one.
     pub zone: Option<u8>,
-    /// Since when it is in this state.
+    /// When it entered `state`.
     pub state_since: Moment,
-    /// The last datagram that came from itself.
+    /// When the last datagram arrived directly from the member.
     pub last_heard: Option<Moment>,
-    /// Since when its view differs from this one.
+    /// Since when the member's view digest differs from this gateway's; `None` while they agree.
     pub view_differs_since: Option<Moment>,
 }
 
-/// How the fleet looks from here.
+/// Which part of the group is unreachable from this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// Nobody that was ever heard of is missing.
+    /// No known member has failed.
     AllReachable,
-    /// Some members failed, and no site as a whole.
+    /// These members have failed, but no zone as a whole.
     MembersFailed(Vec<MemberIndex>),
-    /// All members of these sites are missing, and others of theirs are not: the sites are lost or cut off.
+    /// All known members of these zones (two or more in each) have failed: the zones are down or partitioned. There is
+    /// another reachable zone, or only one zone besides this gateway's.
     ZonesLost(Vec<u8>),
-    /// All other sites are missing at once: this site is the one that is cut off, or the only one left.
+    /// All other zones (two or more) have failed: this zone is partitioned, or the only one left.
     OwnZoneIsolated,
-    /// Nobody is heard any more: it is this limiter that is cut off.
+    /// No member is heard any more, so this gateway itself is partitioned.
     Isolated,
 }
 
@@ -83,42 +89,54 @@
     }
 }
 
-/// A change, for the log.
+/// A change of a member's state or generation, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
+    /// The member that changed.
     pub index: MemberIndex,
+    /// State before the change.
     pub from: MemberState,
+    /// State after the change.
     pub to: MemberState,
+    /// The member's generation after the change.
     pub generation: u64,
 }
 
-/// Where nobody at all is heard for so long, it is not the others: probes go out every second, to somebody else each.
+/// Without any datagram for this long, this gateway considers itself partitioned. Probes go out every second, each to a
+/// different member, so the fault is unlikely to lie with the others.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(4_000);
 
+/// The status of every member as this gateway sees it.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
+    /// Index of this gateway.
     pub own_index: MemberIndex,
+    /// Zone of this gateway; [`NO_ZONE`] if it has none.
     pub own_zone: u8,
+    /// By member index. The entry of this gateway is unused.
     statuses: Vec<MemberStatus>,
+    /// Changes since the last call of [`Self::take_changes`].
     changes: Vec<StateChange>,
 }
 
 impl MembershipView {
+    /// Creates a view of `member_count` members in state [`MemberState::Unknown`].
     pub fn new(own_index: MemberIndex, own_zone: u8, member_count: MemberIndex, now: Moment) -> Self {
         let status = MemberStatus { state_since: now, ..MemberStatus::default() };
         Self { own_index, own_zone, statuses: vec![status; usize::from(member_count)], changes: Vec::new() }
     }
 
-    /// By number; this limiter's own stands among them and says nothing.
+    /// Returns all statuses by member index; the entry of this gateway itself is meaningless.
     pub fn statuses(&self) -> &[MemberStatus] {
         &self.statuses
     }
 
+    /// Returns the status of a member, or `None` if the index is not in the list.
     pub fn status(&self, index: MemberIndex) -> Option<&MemberStatus> {
         self.statuses.get(usize::from(index))
     }
 
-    /// The others, with what is known of them.
+    /// Returns the other members with their statuses.
     pub fn peers(&self) -> impl Iterator<Item = (MemberIndex, &MemberStatus)> {
         let own_index = self.own_index;
         self.statuses
@@ -128,11 +146,12 @@
             .filter(move |it| it.0 != own_index)
     }
 
+    /// Returns how many other members are in `state`.
     pub fn count_in_state(&self, state: MemberState) -> usize {
         self.peers().filter(|(_, status)| status.state == state).count()
     }
 
-    /// Of what life and state a member is; a zone is kept where none is told.
+    /// Sets state and generation of a member and records the change. With [`NO_ZONE`] the known zone is kept.
     pub fn update(&mut self, index: MemberIndex, state: MemberState, generation: u64, zone: u8, now: Moment) {
         let Some(status) = self.statuses.get_mut(usize::from(index)).filter(|_| index != self.own_index)
         else {
@@ -151,7 +170,7 @@
         (status.state, status.generation) = (state, generation);
     }
 
-    /// A datagram came from it.
+    /// Notes that a datagram arrived from a member that is already known.
     pub fn record_datagram(&mut self, index: MemberIndex, now: Moment) {
         let status =
             self.statuses.get_mut(usize::from(index)).filter(|status| status.state != MemberState::Unknown);
@@ -160,7 +179,7 @@
         }
     }
 
-    /// A datagram came from it that told its view.
+    /// Notes that a datagram with the sender's view digest arrived, and compares the digest with this view's.
     pub fn record_view_digest(&mut self, index: MemberIndex, now: Moment, digest: u32) {
         let matches_own = digest == self.digest();
         let Some(status) = self.statuses.get_mut(usize::from(index)) else { return };
@@ -168,11 +187,13 @@
         status.view_differs_since = if matches_own { None } else { status.view_differs_since.or(Some(now)) };
     }
 
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Sums up who is taken to be there, this limiter included: two views that agree have the same digest.
+    /// Returns a hash of the set of members that are alive or suspected, this gateway included. Views that agree on
+    /// that set have the same digest.
     pub fn digest(&self) -> u32 {
         self.statuses.iter().enumerate().fold(0, |sum, (index, status)| {
             let is_alive = index == usize::from(self.own_index)
@@ -183,7 +204,7 @@
         })
     }
 
-    /// How many members of late held another view, and for how long one of them has.
+    /// Returns how many live members last reported a different view, and the longest time for which one of them has.
     pub fn disagreement(&self, now: Moment) -> (usize, Span) {
         let differing = self.peers().filter(|(_, status)| status.state == MemberState::Alive);
         let differing: Vec<Moment> = differing.filter_map(|(_, status)| status.view_differs_since).collect();
@@ -191,10 +212,11 @@
         (differing.len(), longest)
     }
 
+    /// Derives from the statuses which part of the group is unreachable.
     pub fn reachability(&self, now: Moment) -> Reachability {
         let known: Vec<(MemberIndex, &MemberStatus)> =
             self.peers().filter(|(_, status)| status.state != MemberState::Unknown).collect();
-        // One that has left, said so: it is missed by nobody.
+        // Members that left on purpose do not count as failed.
         let failed: BTreeSet<MemberIndex> =
             known.iter().filter(|(_, status)| status.state == MemberState::Failed).map(|it| it.0).collect();
         let possibly_alive = known.iter().filter(|(_, status)| status.state.may_be_alive());
@@ -206,7 +228,7 @@
         if failed.is_empty() {
             return Reachability::AllReachable;
         }
-        // By zone: how many are known there, and how many of them are missing.
+        // Per zone: number of known members, and how many of them have failed.
         let mut zones: BTreeMap<u8, (usize, usize)> = BTreeMap::new();
         for (index, status) in known.iter().filter(|(_, status)| status.state != MemberState::Left) {
             let Some(zone) = status.zone else { continue };
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -2,7 +2,7 @@
 
 const NOW: Moment = Moment::from_micros(60_000_000);
 
-/// Twelve in three zones, all present and just heard.
+/// A view of twelve members in three zones, all alive and just heard.
 fn view() -> MembershipView {
     let mut view = MembershipView::new(0, 0, 12, NOW);
     for index in 1..12 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn failed_members_a_lost_site_an_own_cut_and_loneliness_are_told_apart() {
+fn reachability_distinguishes_failed_members_lost_zones_and_an_isolated_zone_or_gateway() {
     let mut some = view();
     assert_eq!(some.reachability(NOW), Reachability::AllReachable);
     failed(&mut some, |index| index == 4 || index == 5);
@@ -33,12 +33,12 @@
     let mut alone = view();
     failed(&mut alone, |_| true);
     assert_eq!(alone.reachability(NOW), Reachability::Isolated);
-    // Cut off just now: nobody is failed yet, and nobody is heard.
+    // Just partitioned: no member has been declared failed yet, but none is heard.
     assert_eq!(view().reachability(NOW + Span::from_millis(4_001)), Reachability::Isolated);
     let mut left = view();
     (1..12).for_each(|index| left.update(index, MemberState::Left, 5, NO_ZONE, NOW));
     assert_eq!(left.reachability(NOW), Reachability::AllReachable);
-    // In one zone alone nothing can be said of sites.
+    // With all members in one zone, the result names members, not zones.
     let mut flat = MembershipView::new(0, 0, 6, NOW);
     (1..6).for_each(|index| {
         flat.update(index, if index < 4 { MemberState::Failed } else { MemberState::Alive }, 1, 0, NOW);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn views_that_differ_find_out_and_for_how_long() {
+fn disagreement_reports_how_many_views_differ_and_for_how_long() {
     let (mut a, mut b) = (view(), view());
     b.own_index = 0;
     assert_eq!(a.digest(), b.digest());
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Whole fleets on a simulated clock and a simulated network: kills, cuts, losses, stops, restarts and false datagrams,
-//! the same each time.
+//! Deterministic simulations of whole groups of gateways with a simulated clock and network: kills, partitions, packet
+//! loss, pauses, restarts and forged datagrams.
 
 use fennelgauge::host::ConditionalAdd;
 use fennelgauge::time::{Moment, Span};
@@ -17,11 +17,11 @@
 
 struct Fleet {
     nodes: Vec<Option<MembershipNode>>,
-    /// Stopped: neither reads nor is woken; what comes waits.
-    stopped: BTreeSet<MemberIndex>,
+    /// Paused members: they neither read nor run timers; incoming datagrams wait in the inbox.
+    paused: BTreeSet<MemberIndex>,
     inboxes: Vec<Vec<(MemberIndex, Vec<u8>)>>,
-    /// One way from the first to the second nothing passes.
-    cut: BTreeSet<(MemberIndex, MemberIndex)>,
+    /// Links (from, to) that drop all datagrams in this direction.
+    dropped_links: BTreeSet<(MemberIndex, MemberIndex)>,
     loss: f64,
     duplication: f64,
     max_delay_ms: u64,
@@ -30,13 +30,13 @@
     now: Moment,
     rng: ChaCha8Rng,
     zones: u16,
-    /// Whoever was held to be failed, by whom, and when.
+    /// Failures that were declared: when, by which member, about which member.
     failure_reports: Vec<(Moment, MemberIndex, MemberIndex)>,
-    /// How far each limiter's clock is off.
-    skew: BTreeMap<MemberIndex, i64>,
+    /// Clock error of each member in microseconds.
+    clock_error_us: BTreeMap<MemberIndex, i64>,
 }
 
-fn is_there(state: MemberState) -> bool {
+fn is_alive_or_suspected(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspected)
 }
 
@@ -44,9 +44,9 @@
     fn new(member_count: MemberIndex, seed: u64) -> Self {
         let mut fleet = Self {
             nodes: Vec::new(),
-            stopped: BTreeSet::new(),
+            paused: BTreeSet::new(),
             inboxes: vec![Vec::new(); usize::from(member_count)],
-            cut: BTreeSet::new(),
+            dropped_links: BTreeSet::new(),
             loss: 0.0,
             duplication: 0.0,
             max_delay_ms: 19,
@@ -56,7 +56,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             zones: 3,
             failure_reports: Vec::new(),
-            skew: BTreeMap::new(),
+            clock_error_us: BTreeMap::new(),
         };
         fleet.nodes.resize_with(usize::from(member_count), || None);
         (0..member_count).for_each(|index| fleet.start(index));
@@ -68,8 +68,8 @@
     }
 
     fn clock(&self, index: MemberIndex) -> Moment {
-        let skew = self.skew.get(&index).copied().unwrap_or_default();
-        Moment::from_micros(self.now.micros().saturating_add_signed(skew))
+        let clock_error_us = self.clock_error_us.get(&index).copied().unwrap_or_default();
+        Moment::from_micros(self.now.micros().saturating_add_signed(clock_error_us))
     }
 
     fn start(&mut self, index: MemberIndex) {
@@ -93,7 +93,7 @@
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES && from != to);
         let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
         for _ in 0..copies {
-            if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
+            if self.dropped_links.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
                 continue;
             }
             let delay = Span::from_millis(self.rng.random_range(2..=self.max_delay_ms));
@@ -117,13 +117,13 @@
         }
         for index in 0..self.member_count() {
             let now = self.clock(index);
-            if self.stopped.contains(&index) {
+            if self.paused.contains(&index) {
                 continue;
             }
-            let mail = std::mem::take(&mut self.inboxes[usize::from(index)]);
+            let inbox = std::mem::take(&mut self.inboxes[usize::from(index)]);
             let Some(node) = &mut self.nodes[usize::from(index)] else { continue };
-            for (from, bytes) in mail {
-                // What is refused is counted there.
+            for (from, bytes) in inbox {
+                // The node counts rejected datagrams itself.
                 let _ = node.receive(now, Some(from), &bytes);
             }
             node.run_due(now);
@@ -135,157 +135,174 @@
         }
     }
 
-    fn alive(&self) -> impl Iterator<Item = (MemberIndex, &MembershipNode)> {
+    fn running(&self) -> impl Iterator<Item = (MemberIndex, &MembershipNode)> {
         let nodes = self.nodes.iter().enumerate();
         nodes.filter_map(|(index, node)| Some((index as MemberIndex, node.as_ref()?)))
     }
 
-    /// All that live and are not stopped hold just these to be there.
-    fn agree_on(&self, there: &dyn Fn(MemberIndex) -> bool) -> bool {
-        self.alive().filter(|(index, _)| !self.stopped.contains(index)).all(|(_, node)| {
-            node.view().peers().all(|(index, status)| is_there(status.state) == there(index))
+    /// Returns whether all running members consider exactly the members alive or suspected for which `is_expected` is
+    /// true.
+    fn all_views_match(&self, is_expected: &dyn Fn(MemberIndex) -> bool) -> bool {
+        self.running().filter(|(index, _)| !self.paused.contains(index)).all(|(_, node)| {
+            node.view()
+                .peers()
+                .all(|(index, status)| is_alive_or_suspected(status.state) == is_expected(index))
         })
     }
 
-    /// Runs until it holds; how many seconds that took.
-    fn until(&mut self, timeout_s: f64, what: &str, holds: impl Fn(&Self) -> bool) -> f64 {
+    /// Runs until `holds` is true and returns the seconds that took; panics after `timeout_s`.
+    fn run_until(&mut self, timeout_s: f64, condition: &str, holds: impl Fn(&Self) -> bool) -> f64 {
         let from = self.now;
         while !holds(self) {
-            assert!(self.now.since(from).secs() < timeout_s, "{what}: not after {timeout_s} s");
+            assert!(self.now.since(from).secs() < timeout_s, "{condition}: not after {timeout_s} s");
             self.run(0.1);
         }
         self.now.since(from).secs()
     }
 
-    fn met(member_count: MemberIndex, seed: u64) -> Self {
+    fn converged(member_count: MemberIndex, seed: u64) -> Self {
         let mut fleet = Self::new(member_count, seed);
-        fleet.until(120.0, "all meet", |it| it.agree_on(&|_| true));
+        fleet.run_until(120.0, "all views converge", |it| it.all_views_match(&|_| true));
         fleet
     }
 
-    fn part(&mut self, a: impl Fn(MemberIndex) -> bool, b: impl Fn(MemberIndex) -> bool, both: bool) {
+    fn partition(&mut self, a: impl Fn(MemberIndex) -> bool, b: impl Fn(MemberIndex) -> bool, both: bool) {
         for from in 0..self.member_count() {
             for to in 0..self.member_count() {
                 if (a(from) && b(to)) || (both && b(from) && a(to)) {
-                    self.cut.insert((from, to));
+                    self.dropped_links.insert((from, to));
                 }
             }
         }
     }
 
-    fn reach(&mut self, index: MemberIndex) -> Reachability {
+    fn reachability(&mut self, index: MemberIndex) -> Reachability {
         let now = self.clock(index);
         self.nodes[usize::from(index)].as_mut().map_or(Reachability::Isolated, |node| node.reachability(now))
     }
 }
 
 #[test]
-fn one_killed_is_found_by_all_and_nobody_else_is_accused() {
-    let mut fleet = Fleet::met(20, 1);
+fn a_killed_member_is_detected_by_all_and_no_other_is_declared_failed() {
+    let mut fleet = Fleet::converged(20, 1);
     fleet.kill(7);
-    let took = fleet.until(15.0, "7 is found", |it| it.agree_on(&|index| index != 7));
+    let elapsed_s =
+        fleet.run_until(15.0, "7 is declared failed", |it| it.all_views_match(&|index| index != 7));
     assert!(
-        took > 2.0 && fleet.failure_reports.iter().all(|it| it.2 == 7),
-        "{took} {:?}",
+        elapsed_s > 2.0 && fleet.failure_reports.iter().all(|it| it.2 == 7),
+        "{elapsed_s} {:?}",
         fleet.failure_reports
     );
-    assert_eq!(fleet.reach(0), Reachability::MembersFailed(vec![7]));
-    // Back at the same address; news of the old life, still going round, does not end the new one.
+    assert_eq!(fleet.reachability(0), Reachability::MembersFailed(vec![7]));
+    // Restarted at the same address: gossip about the old generation must not make the new one fail.
     fleet.failure_reports.clear();
     fleet.start(7);
-    fleet.until(15.0, "7 is back", |it| it.agree_on(&|_| true));
+    fleet.run_until(15.0, "7 is alive again", |it| it.all_views_match(&|_| true));
     fleet.run(30.0);
-    assert!(fleet.failure_reports.is_empty() && fleet.agree_on(&|_| true), "{:?}", fleet.failure_reports);
+    assert!(
+        fleet.failure_reports.is_empty() && fleet.all_views_match(&|_| true),
+        "{:?}",
+        fleet.failure_reports
+    );
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_and_all_restarted_within_two_seconds() {
-    let mut fleet = Fleet::met(20, 2);
+fn views_converge_after_mass_kills_and_a_rolling_restart_within_two_seconds() {
+    let mut fleet = Fleet::converged(20, 2);
     (0..14).for_each(|index| fleet.kill(index));
-    fleet.until(30.0, "the killed are found", |it| it.agree_on(&|index| index >= 14));
+    fleet.run_until(30.0, "the killed members are declared failed", |it| {
+        it.all_views_match(&|index| index >= 14)
+    });
     (0..14).for_each(|index| fleet.start(index));
-    fleet.until(30.0, "they are back", |it| it.agree_on(&|_| true));
+    fleet.run_until(30.0, "the restarted members are alive", |it| it.all_views_match(&|_| true));
     for index in 0..20 {
         fleet.kill(index);
         fleet.run(0.05);
         fleet.start(index);
         fleet.run(0.05);
     }
-    fleet.until(40.0, "all are anew", |it| it.agree_on(&|_| true));
+    fleet.run_until(40.0, "all restarted members are alive", |it| it.all_views_match(&|_| true));
     fleet.run(20.0);
-    assert!(fleet.agree_on(&|_| true));
+    assert!(fleet.all_views_match(&|_| true));
 }
 
 #[test]
-fn a_restart_within_a_second_also_with_a_clock_set_back() {
-    let mut fleet = Fleet::met(12, 3);
+fn a_quick_restart_is_accepted_even_with_a_clock_set_back() {
+    let mut fleet = Fleet::converged(12, 3);
     fleet.kill(4);
     fleet.run(0.3);
     fleet.start(4);
     fleet.run(10.0);
-    assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.iter().all(|it| it.2 == 4));
-    // Its next life looks an hour older than the last one.
+    assert!(fleet.all_views_match(&|_| true) && fleet.failure_reports.iter().all(|it| it.2 == 4));
+    // The next generation is an hour lower than the previous one.
     fleet.kill(4);
-    fleet.skew.insert(4, -3_600_000_000);
+    fleet.clock_error_us.insert(4, -3_600_000_000);
     fleet.start(4);
-    fleet.until(30.0, "the set-back one is known again", |it| it.agree_on(&|_| true));
+    fleet.run_until(30.0, "the member with the clock set back is alive", |it| it.all_views_match(&|_| true));
     fleet.run(20.0);
-    assert!(fleet.agree_on(&|_| true));
-    // And a clock that jumps while it runs, ahead and back.
+    assert!(fleet.all_views_match(&|_| true));
+    // The clock of a running member jumps ahead and back.
     for jump in [7_200_000_000, -40_000_000] {
         fleet.failure_reports.clear();
-        fleet.skew.insert(9, jump);
+        fleet.clock_error_us.insert(9, jump);
         fleet.run(20.0);
-        assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.is_empty(), "{:?}", fleet.failure_reports);
+        assert!(
+            fleet.all_views_match(&|_| true) && fleet.failure_reports.is_empty(),
+            "{:?}",
+            fleet.failure_reports
+        );
     }
 }
 
 #[test]
-fn a_link_cut_one_way_and_a_member_that_only_some_can_reach() {
-    let mut fleet = Fleet::met(12, 4);
-    fleet.part(|from| from == 2, |to| to == 5, false);
+fn a_one_way_link_failure_or_a_partly_reachable_member_causes_no_failure() {
+    let mut fleet = Fleet::converged(12, 4);
+    fleet.partition(|from| from == 2, |to| to == 5, false);
     fleet.run(40.0);
-    assert!(fleet.failure_reports.is_empty(), "others still reach both: {:?}", fleet.failure_reports);
+    assert!(fleet.failure_reports.is_empty(), "other members still reach both: {:?}", fleet.failure_reports);
     // Only a quarter of the fleet reaches 3.
-    fleet.part(|from| from > 2 && from != 3, |to| to == 3, true);
+    fleet.partition(|from| from > 2 && from != 3, |to| to == 3, true);
     fleet.run(60.0);
     assert!(fleet.failure_reports.is_empty(), "{:?}", fleet.failure_reports);
 }
 
 #[test]
-fn a_zone_cut_off_knows_that_it_is_and_all_meet_again() {
-    for cut_s in [10.0, 120.0] {
-        let mut fleet = Fleet::met(18, 5);
-        fleet.part(|index| index % 3 == 2, |index| index % 3 != 2, true);
-        fleet.run(cut_s);
-        if cut_s > 30.0 {
-            assert_eq!(fleet.reach(0), Reachability::ZonesLost(vec![2]));
-            assert_eq!(fleet.reach(2), Reachability::OwnZoneIsolated);
-            // Those of the larger side take over, the others do not.
-            let parts = |fleet: &mut Fleet, index: MemberIndex| {
+fn a_partitioned_zone_notices_it_and_views_converge_after_healing() {
+    for partition_s in [10.0, 120.0] {
+        let mut fleet = Fleet::converged(18, 5);
+        fleet.partition(|index| index % 3 == 2, |index| index % 3 != 2, true);
+        fleet.run(partition_s);
+        if partition_s > 30.0 {
+            assert_eq!(fleet.reachability(0), Reachability::ZonesLost(vec![2]));
+            assert_eq!(fleet.reachability(2), Reachability::OwnZoneIsolated);
+            // Only the larger side redistributes the shares.
+            let sharers = |fleet: &mut Fleet, index: MemberIndex| {
                 let now = fleet.clock(index);
                 fleet.nodes[usize::from(index)].as_mut().unwrap().quota_sharers(now, 0, 18.0)
             };
-            assert_eq!((parts(&mut fleet, 0), parts(&mut fleet, 2)), (12.0, 18.0));
+            assert_eq!((sharers(&mut fleet, 0), sharers(&mut fleet, 2)), (12.0, 18.0));
         }
-        fleet.cut.clear();
-        let took = fleet.until(60.0, "one view after the cut", |it| it.agree_on(&|_| true));
-        // Counted from the shares: whoever was taken over has its own again.
+        fleet.dropped_links.clear();
+        let elapsed_s =
+            fleet.run_until(60.0, "one view after the partition healed", |it| it.all_views_match(&|_| true));
+        // The redistributed shares have been given back.
         let now = fleet.clock(0);
         assert_eq!(fleet.nodes[0].as_mut().unwrap().quota_sharers(now, 0, 18.0), 18.0);
-        println!("healed after a cut of {cut_s} s: one view in {took:.1} s");
+        println!("after a partition of {partition_s} s the views converged in {elapsed_s:.1} s");
         fleet.run(20.0);
-        assert!(fleet.agree_on(&|_| true));
+        assert!(fleet.all_views_match(&|_| true));
     }
 }
 
 #[test]
-fn two_halves_that_each_believe_the_other_failed_meet_again_and_neither_takes_over() {
-    let mut fleet = Fleet::met(16, 6);
-    fleet.part(|index| index < 8, |index| index >= 8, true);
-    fleet.until(40.0, "each half has given the other up", |it| {
-        it.alive().all(|(own, node)| {
-            node.view().peers().all(|(index, status)| is_there(status.state) == ((own < 8) == (index < 8)))
+fn two_halves_that_declared_each_other_failed_merge_and_neither_redistributes_shares() {
+    let mut fleet = Fleet::converged(16, 6);
+    fleet.partition(|index| index < 8, |index| index >= 8, true);
+    fleet.run_until(40.0, "each half has declared the other failed", |it| {
+        it.running().all(|(own, node)| {
+            node.view()
+                .peers()
+                .all(|(index, status)| is_alive_or_suspected(status.state) == ((own < 8) == (index < 8)))
         })
     });
     fleet.run(5.0);
@@ -293,57 +310,63 @@
         let now = fleet.clock(index);
         assert_eq!(fleet.nodes[usize::from(index)].as_mut().unwrap().quota_sharers(now, 0, 16.0), 16.0);
     }
-    fleet.cut.clear();
-    fleet.until(60.0, "the halves have met", |it| it.agree_on(&|_| true));
+    fleet.dropped_links.clear();
+    fleet.run_until(60.0, "the halves have merged", |it| it.all_views_match(&|_| true));
 }
 
-/// A cut that heals just as one side gives a member of the other up: the news of it goes round on the side where that
-/// member was heard all along, and nobody there takes it for more than a suspicion.
+/// Guards against false failures after a partition that heals just as one side declares a member of the other side
+/// failed: the report then spreads on the member's own side, which heard it all along and must treat it as a suspicion
+/// only.
 #[test]
-fn news_of_a_failure_from_across_a_healed_cut_ends_nobody() {
+fn a_failure_reported_across_a_healed_partition_is_not_accepted() {
     for (member_count, seed) in (0..8).map(|seed| (8, seed)).chain([(40, 20), (40, 21)]) {
-        let mut fleet = Fleet::met(member_count, seed);
-        fleet.part(|index| index % 2 == 0, |index| index % 2 == 1, true);
+        let mut fleet = Fleet::converged(member_count, seed);
+        fleet.partition(|index| index % 2 == 0, |index| index % 2 == 1, true);
         while fleet.failure_reports.is_empty() {
             fleet.step();
         }
-        fleet.cut.clear();
+        fleet.dropped_links.clear();
         fleet.run(5.0);
-        fleet.until(60.0, "one view after the cut", |it| it.agree_on(&|_| true));
-        let own: Vec<_> = fleet.failure_reports.iter().filter(|(_, by, who)| by % 2 == who % 2).collect();
-        assert!(own.is_empty(), "{member_count} members, seed {seed}: {own:?}");
+        fleet.run_until(60.0, "one view after the partition healed", |it| it.all_views_match(&|_| true));
+        let same_side: Vec<_> =
+            fleet.failure_reports.iter().filter(|(_, reporter, index)| reporter % 2 == index % 2).collect();
+        assert!(same_side.is_empty(), "{member_count} members, seed {seed}: {same_side:?}");
     }
 }
 
 #[test]
-fn one_stopped_or_starved_does_not_accuse_the_fleet() {
-    let mut fleet = Fleet::met(12, 7);
-    fleet.stopped.insert(6);
+fn a_paused_or_starved_member_does_not_declare_the_others_failed() {
+    let mut fleet = Fleet::converged(12, 7);
+    fleet.paused.insert(6);
     fleet.run(3.0);
-    fleet.stopped.clear();
+    fleet.paused.clear();
     fleet.run(20.0);
-    assert!(fleet.failure_reports.is_empty(), "three seconds are borne: {:?}", fleet.failure_reports);
-    // Stopped so long that the others give it up: it accuses nobody when it goes on, and is taken back.
-    fleet.stopped.insert(6);
-    fleet.until(30.0, "6 is given up", |it| it.agree_on(&|index| index != 6));
-    fleet.stopped.clear();
-    fleet.until(30.0, "6 is back", |it| it.agree_on(&|_| true));
+    assert!(
+        fleet.failure_reports.is_empty(),
+        "a pause of three seconds is tolerated: {:?}",
+        fleet.failure_reports
+    );
+    // Paused until the others declare it failed: when it continues, it declares no member failed and is accepted again.
+    fleet.paused.insert(6);
+    fleet.run_until(30.0, "6 is declared failed", |it| it.all_views_match(&|index| index != 6));
+    fleet.paused.clear();
+    fleet.run_until(30.0, "6 is alive again", |it| it.all_views_match(&|_| true));
     assert!(fleet.failure_reports.iter().all(|it| it.1 != 6 && it.2 == 6), "{:?}", fleet.failure_reports);
-    // Starved: awake for a twentieth of the time.
+    // Starved: it runs for a twentieth of the time.
     fleet.failure_reports.clear();
     for _ in 0..40 {
-        fleet.stopped.insert(3);
+        fleet.paused.insert(3);
         fleet.run(0.95);
-        fleet.stopped.clear();
+        fleet.paused.clear();
         fleet.run(0.05);
     }
     assert!(fleet.failure_reports.iter().all(|it| it.1 != 3), "{:?}", fleet.failure_reports);
 }
 
 #[test]
-fn loss_repeats_and_disorder_cause_no_false_failure() {
+fn loss_duplication_and_reordering_cause_no_false_failure() {
     for (loss, delay_ms, secs, seed) in [(0.1, 19, 600.0, 8), (0.3, 150, 240.0, 9)] {
-        let mut fleet = Fleet::met(20, seed);
+        let mut fleet = Fleet::converged(20, seed);
         (fleet.loss, fleet.duplication, fleet.max_delay_ms) = (loss, 0.2, delay_ms);
         fleet.run(secs);
         assert!(fleet.failure_reports.is_empty(), "loss {loss}: {:?}", fleet.failure_reports);
@@ -351,8 +374,8 @@
 }
 
 #[test]
-fn one_that_leaves_says_so_and_is_not_missed() {
-    let mut fleet = Fleet::met(12, 10);
+fn an_announced_departure_spreads_and_is_not_a_failure() {
+    let mut fleet = Fleet::converged(12, 10);
     let now = fleet.clock(5);
     let node = fleet.nodes[5].as_mut().unwrap();
     node.leave(now);
@@ -360,19 +383,19 @@
     assert!(!sends.is_empty() && !node.can_count(now));
     sends.into_iter().for_each(|(to, bytes)| fleet.send(5, to, bytes));
     fleet.kill(5);
-    fleet.until(5.0, "the parting goes round", |it| {
-        it.alive().all(|(_, node)| node.view().status(5).unwrap().state == MemberState::Left)
+    fleet.run_until(5.0, "the departure has spread", |it| {
+        it.running().all(|(_, node)| node.view().status(5).unwrap().state == MemberState::Left)
     });
-    assert_eq!((fleet.reach(0), fleet.failure_reports.len()), (Reachability::AllReachable, 0));
+    assert_eq!((fleet.reachability(0), fleet.failure_reports.len()), (Reachability::AllReachable, 0));
     fleet.start(5);
-    fleet.until(10.0, "it is back", |it| it.agree_on(&|_| true));
+    fleet.run_until(10.0, "the restarted member is alive", |it| it.all_views_match(&|_| true));
 }
 
 #[test]
-fn counts_are_whole_through_loss_repeats_and_a_dead_keeper() {
-    let mut fleet = Fleet::met(20, 11);
+fn counts_are_complete_despite_loss_duplication_and_failed_owners() {
+    let mut fleet = Fleet::converged(20, 11);
     (fleet.loss, fleet.duplication) = (0.08, 0.1);
-    let (mut totals, mut given_up) = (BTreeMap::<u64, Vec<f64>>::new(), 0);
+    let (mut totals, mut unanswered) = (BTreeMap::<u64, Vec<f64>>::new(), 0);
     let collect = |fleet: &mut Fleet, totals: &mut BTreeMap<u64, Vec<f64>>| {
         let mut lost = 0;
         for node in fleet.nodes.iter_mut().flatten() {
@@ -389,7 +412,7 @@
         lost
     };
     for round in 0..40_u64 {
-        // Two of the names' keepers are dead from here on, and not yet found out.
+        // Four members, among them owners of some counts, are killed and not yet detected.
         if round == 20 {
             (15..19).for_each(|index| fleet.kill(index));
         }
@@ -397,37 +420,40 @@
             let now = fleet.clock(index);
             let node = fleet.nodes[usize::from(index)].as_mut().unwrap();
             assert!(node.can_count(now), "{round} {index}");
-            // Half of it firm, half wanted where there is room.
+            // Half of the amount is unconditional, half conditional.
             let wanted = ConditionalAdd { amount: 0.5, max_total: 100.0, max_with_deficit: 1e6 };
             node.add_to_count(now, 1_000 + round, 0.5, wanted);
             fleet.run(0.02);
         }
         fleet.run(0.7);
-        given_up += collect(&mut fleet, &mut totals);
+        unanswered += collect(&mut fleet, &mut totals);
     }
-    let most: Vec<f64> = totals.values().map(|all| all.iter().copied().fold(0.0, f64::max)).collect();
-    // Nothing is ever counted twice, and what is missing is what was given up or told to a keeper that died.
-    assert!(most.iter().all(|total| *total <= 15.0), "{most:?}");
-    let whole = most.iter().filter(|total| **total >= 14.0).count();
-    assert!(whole >= 34 && given_up <= 70, "{whole} whole, {given_up} given up, {most:?}");
-    // Forgotten in time, whatever came.
+    let max_totals: Vec<f64> = totals.values().map(|all| all.iter().copied().fold(0.0, f64::max)).collect();
+    // Nothing is counted twice. Only queries without a reply and sums sent to a killed owner are missing.
+    assert!(max_totals.iter().all(|total| *total <= 15.0), "{max_totals:?}");
+    let complete = max_totals.iter().filter(|total| **total >= 14.0).count();
+    assert!(
+        complete >= 34 && unanswered <= 70,
+        "{complete} complete, {unanswered} unanswered, {max_totals:?}"
+    );
+    // All counts expire.
     fleet.run(40.0);
-    assert!(fleet.alive().all(|(_, node)| node.count_sizes() == (0, 0)));
+    assert!(fleet.running().all(|(_, node)| node.count_sizes() == (0, 0)));
 }
 
 #[test]
-fn a_flood_of_false_datagrams_changes_nothing_and_fills_nothing() {
-    let mut fleet = Fleet::met(12, 12);
+fn a_flood_of_forged_datagrams_changes_no_view_and_uses_bounded_memory() {
+    let mut fleet = Fleet::converged(12, 12);
     let mut rng = ChaCha8Rng::seed_from_u64(99);
-    let genuine = Frame { kind: FrameKind::CountUpdates, body: &[0; 27] }.encode(12, 3);
+    let valid_frame = Frame { kind: FrameKind::CountUpdates, body: &[0; 27] }.encode(12, 3);
     for round in 0..20_000 {
         let now = fleet.clock(0);
         let node = fleet.nodes[0].as_mut().unwrap();
         let mut bytes: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
         match round % 4 {
             0 => {}
-            // Whole, but from nobody, from itself, or said to be from another.
-            1 => bytes = genuine.clone(),
+            // Valid frames, but from an unknown address, its own, or one of another member.
+            1 => bytes = valid_frame.clone(),
             2 => bytes = Frame { kind: FrameKind::Membership, body: &bytes }.encode(12, 3),
             _ => bytes = Frame { kind: FrameKind::CountTotals, body: &bytes }.encode(12, 3),
         }
@@ -438,7 +464,7 @@
         }
     }
     fleet.run(5.0);
-    assert!(fleet.agree_on(&|_| true) && fleet.failure_reports.is_empty());
+    assert!(fleet.all_views_match(&|_| true) && fleet.failure_reports.is_empty());
     let refused = fleet.nodes[0].as_ref().unwrap().rejected_datagrams();
     for reason in [
         RejectReason::UnknownSender,
@@ -447,15 +473,15 @@
         RejectReason::TooLong,
         RejectReason::UnsupportedVersion,
     ] {
-        assert!(refused.get(&reason).is_some_and(|many| *many > 50), "{reason}: {refused:?}");
+        assert!(refused.get(&reason).is_some_and(|count| *count > 50), "{reason}: {refused:?}");
     }
     assert!(fleet.nodes[0].as_ref().unwrap().count_sizes().0 < 2_000);
 }
 
-/// Numbers of another list: the peer list of one is out of date, or names another fleet.
+/// Guards against mixing deployments: a gateway whose peer list has another length is rejected by the checksum.
 #[test]
-fn a_limiter_of_another_list_is_not_understood() {
-    let mut fleet = Fleet::met(6, 13);
+fn datagrams_of_a_gateway_with_another_peer_list_are_rejected() {
+    let mut fleet = Fleet::converged(6, 13);
     let config = NodeConfig {
         own_index: 2,
         member_count: 7,
@@ -476,27 +502,27 @@
             }
         }
     }
-    assert!(refused > 10 && fleet.agree_on(&|_| true));
+    assert!(refused > 10 && fleet.all_views_match(&|_| true));
 }
 
 #[test]
-fn what_a_quiet_limiter_sends_does_not_grow_with_the_fleet() {
-    let mut figures = Vec::new();
+fn idle_traffic_per_gateway_does_not_grow_with_the_group() {
+    let mut rates = Vec::new();
     for member_count in [10, 100] {
-        let mut fleet = Fleet::met(member_count, 14);
+        let mut fleet = Fleet::converged(member_count, 14);
         fleet.run(20.0);
-        let before: Vec<(u64, u64)> = fleet.alive().map(|(_, node)| node.sent).collect();
+        let before: Vec<(u64, u64)> = fleet.running().map(|(_, node)| node.sent).collect();
         fleet.run(10.0);
-        let after: Vec<(u64, u64)> = fleet.alive().map(|(_, node)| node.sent).collect();
+        let after: Vec<(u64, u64)> = fleet.running().map(|(_, node)| node.sent).collect();
         let sent = before.iter().zip(&after).map(|(a, b)| (b.0 - a.0) as f64).sum::<f64>();
-        figures.push(sent / 10.0 / f64::from(member_count));
+        rates.push(sent / 10.0 / f64::from(member_count));
     }
-    println!("datagrams a limiter and second: {figures:?}");
-    assert!(figures.iter().all(|figure| (1.5..2.5).contains(figure)), "{figures:?}");
+    println!("datagrams per gateway and second: {rates:?}");
+    assert!(rates.iter().all(|rate| (1.5..2.5).contains(rate)), "{rates:?}");
 }
 
 #[test]
-fn the_bounds_of_shares_are_as_stated() {
+fn share_bounds_have_the_documented_values() {
     assert!((shares::strict_share(300) * 300.0 - 1.0).abs() < 1e-9);
     assert_eq!(shares::max_overrun(), 1.0);
     assert_eq!(shares::max_partition_overrun(1.0), 0.0);
@@ -508,6 +534,6 @@
 mod fuzz;
 
 #[test]
-fn noise_and_spoilt_datagrams_are_borne() {
+fn random_and_modified_datagrams_cause_no_panic() {
     assert!(fuzz::run(60_000, 7) > 50);
 }
--- a/crates/membership/tests/shares.rs
+++ b/crates/membership/tests/shares.rs
@@ -1,5 +1,5 @@
-//! The rules of shares against a model: any views whatever, over partitions, kills, restarts and news that comes late or
-//! never. What must never be exceeded never is; what may be exceeded stays within its bound.
+//! Checks the share rules against a model with arbitrary views, partitions, kills, restarts and late or lost updates:
+//! limits that must never be exceeded are not, and quotas stay within their stated bound.
 
 use fennelgauge::time::{Moment, Span};
 use fennelgauge_membership::shares::{max_overrun, max_partition_overrun, quota_sharers, strict_share};
@@ -10,14 +10,14 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use std::collections::BTreeSet;
 
-const OF: MemberIndex = 9;
+const MEMBER_COUNT: MemberIndex = 9;
 const START: Moment = Moment::from_micros(60_000_000);
 
-/// Who lives, and which part of the network each is in.
+/// Which members run, with their generations, and on which side of a partition each is.
 #[derive(Clone, Debug)]
 struct World {
-    lives: Vec<Option<u64>>,
-    part: Vec<u8>,
+    generations: Vec<Option<u64>>,
+    side: Vec<u8>,
 }
 
 #[derive(Clone, Debug)]
@@ -28,8 +28,8 @@
     Cut(Vec<u8>),
     Heal,
     Wait(u64),
-    /// A member comes to hold another in that state, for whatever reason: news late, lost, or wrong.
-    Believes(MemberIndex, MemberIndex, u8),
+    /// The first member comes to believe that the second is in this state, whether or not that is true.
+    Believe(MemberIndex, MemberIndex, u8),
 }
 
 impl ReferenceStateMachine for World {
@@ -37,38 +37,42 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Self> {
-        Just(Self { lives: vec![Some(1); usize::from(OF)], part: vec![0; usize::from(OF)] }).boxed()
+        Just(Self {
+            generations: vec![Some(1); usize::from(MEMBER_COUNT)],
+            side: vec![0; usize::from(MEMBER_COUNT)],
+        })
+        .boxed()
     }
 
     fn transitions(_: &Self) -> BoxedStrategy<Step> {
-        let index = || 0..OF;
+        let index = || 0..MEMBER_COUNT;
         prop_oneof![
             2 => index().prop_map(Step::Kill),
             2 => index().prop_map(Step::Start),
             1 => index().prop_map(Step::Leave),
-            2 => proptest::collection::vec(0_u8..3, usize::from(OF)).prop_map(Step::Cut),
+            2 => proptest::collection::vec(0_u8..3, usize::from(MEMBER_COUNT)).prop_map(Step::Cut),
             1 => Just(Step::Heal),
             3 => (100_u64..9_000).prop_map(Step::Wait),
-            6 => (index(), index(), 0_u8..5).prop_map(|(a, b, state)| Step::Believes(a, b, state)),
+            6 => (index(), index(), 0_u8..5).prop_map(|(a, b, state)| Step::Believe(a, b, state)),
         ]
         .boxed()
     }
 
     fn apply(mut state: Self, step: &Step) -> Self {
         match step {
-            Step::Kill(who) | Step::Leave(who) => state.lives[usize::from(*who)] = None,
-            Step::Start(who) => {
-                state.lives[usize::from(*who)].get_or_insert(2);
+            Step::Kill(index) | Step::Leave(index) => state.generations[usize::from(*index)] = None,
+            Step::Start(index) => {
+                state.generations[usize::from(*index)].get_or_insert(2);
             }
-            Step::Cut(parts) => state.part.clone_from(parts),
-            Step::Heal => state.part.fill(0),
-            Step::Wait(_) | Step::Believes(..) => {}
+            Step::Cut(parts) => state.side.clone_from(parts),
+            Step::Heal => state.side.fill(0),
+            Step::Wait(_) | Step::Believe(..) => {}
         }
         state
     }
 }
 
-/// The members' views; `rule` makes the share of what must never be exceeded.
+/// The members' views; `rule` computes the share of a limit that must never be exceeded.
 struct Fleet {
     now: Moment,
     views: Vec<MembershipView>,
@@ -78,9 +82,9 @@
 impl Fleet {
     fn new(rule: fn(&MembershipView) -> f64) -> Self {
         let mut views: Vec<MembershipView> =
-            (0..OF).map(|own| MembershipView::new(own, 0, OF, START)).collect();
+            (0..MEMBER_COUNT).map(|own| MembershipView::new(own, 0, MEMBER_COUNT, START)).collect();
         for view in &mut views {
-            (0..OF).for_each(|other| view.update(other, MemberState::Alive, 1, 0, START));
+            (0..MEMBER_COUNT).for_each(|other| view.update(other, MemberState::Alive, 1, 0, START));
         }
         Self { now: START, views, rule }
     }
@@ -89,17 +93,17 @@
         match step {
             Step::Wait(ms) => {
                 self.now = self.now + Span::from_millis(*ms);
-                // Whoever runs finds out in that time whom it does not reach, and whom it does.
+                // After 6 s each member has detected which others it can reach.
                 for (index, view) in self.views.iter_mut().enumerate().filter(|_| *ms > 6_000) {
-                    for other in 0..OF {
-                        let reached = world.lives[usize::from(other)].is_some()
-                            && world.part[usize::from(other)] == world.part[index];
+                    for other in 0..MEMBER_COUNT {
+                        let reached = world.generations[usize::from(other)].is_some()
+                            && world.side[usize::from(other)] == world.side[index];
                         let state = if reached { MemberState::Alive } else { MemberState::Failed };
                         view.update(other, state, 1, 0, self.now);
                     }
                 }
             }
-            Step::Believes(who, whom, state) => {
+            Step::Believe(observer, subject, state) => {
                 let states = [
                     MemberState::Unknown,
                     MemberState::Alive,
@@ -107,42 +111,51 @@
                     MemberState::Failed,
                     MemberState::Left,
                 ];
-                self.views[usize::from(*who)].update(*whom, states[usize::from(*state)], 1, 0, self.now);
+                self.views[usize::from(*observer)].update(
+                    *subject,
+                    states[usize::from(*state)],
+                    1,
+                    0,
+                    self.now,
+                );
+            }
+            // A restarted member knows no other yet.
+            Step::Start(index) => {
+                self.views[usize::from(*index)] = MembershipView::new(*index, 0, MEMBER_COUNT, self.now)
             }
-            // A new life knows nobody yet.
-            Step::Start(who) => self.views[usize::from(*who)] = MembershipView::new(*who, 0, OF, self.now),
             _ => {}
         }
         self
     }
 
-    fn holds(&self, world: &World) -> Result<(), String> {
-        let lives = |index: &usize| world.lives[*index].is_some();
-        let strict_sum: f64 = (0..usize::from(OF)).filter(lives).map(|it| (self.rule)(&self.views[it])).sum();
+    fn check_bounds(&self, world: &World) -> Result<(), String> {
+        let is_running = |index: &usize| world.generations[*index].is_some();
+        let strict_sum: f64 =
+            (0..usize::from(MEMBER_COUNT)).filter(is_running).map(|it| (self.rule)(&self.views[it])).sum();
         if strict_sum > 1.0 + 1e-9 {
-            return Err(format!("shares of what must never be exceeded sum to {strict_sum}"));
+            return Err(format!("shares of a limit that must never be exceeded sum to {strict_sum}"));
         }
         for (first, size) in [(0, 9.0), (7, 4.0), (3, 6.0)] {
             let set: BTreeSet<usize> =
-                (0..size as usize).map(|step| (first + step) % usize::from(OF)).collect();
+                (0..size as usize).map(|step| (first + step) % usize::from(MEMBER_COUNT)).collect();
             let share = |it: &usize| 1.0 / quota_sharers(&self.views[*it], self.now, first as u32, size);
-            let soft: f64 = set.iter().filter(|it| lives(it)).map(share).sum();
-            if soft > 1.0 + max_overrun() + 1e-9 {
-                return Err(format!("a quota's shares over {size} from {first} sum to {soft}"));
+            let quota_sum: f64 = set.iter().filter(|it| is_running(it)).map(share).sum();
+            if quota_sum > 1.0 + max_overrun() + 1e-9 {
+                return Err(format!("a quota's shares over {size} from {first} sum to {quota_sum}"));
             }
         }
         Ok(())
     }
 }
 
-struct Kept;
+struct ShareBounds;
 
-impl StateMachineTest for Kept {
+impl StateMachineTest for ShareBounds {
     type SystemUnderTest = Fleet;
     type Reference = World;
 
     fn init_test(_: &World) -> Fleet {
-        Fleet::new(|_| strict_share(OF))
+        Fleet::new(|_| strict_share(MEMBER_COUNT))
     }
 
     fn apply(fleet: Fleet, world: &World, step: Step) -> Fleet {
@@ -150,8 +163,8 @@
     }
 
     fn check_invariants(fleet: &Fleet, world: &World) {
-        if let Err(broken) = fleet.holds(world) {
-            panic!("{broken}");
+        if let Err(violation) = fleet.check_bounds(world) {
+            panic!("{violation}");
         }
     }
 }
@@ -159,15 +172,16 @@
 proptest_state_machine::prop_state_machine! {
     #![proptest_config(Config { cases: 400, failure_persistence: None, ..Config::default() })]
     #[test]
-    fn shares_stay_within_their_bounds_with_any_views(sequential 1..60 => Kept);
+    fn shares_stay_within_their_bounds_with_any_views(sequential 1..60 => ShareBounds);
 }
 
-/// The rule that looks right and is not: a failed member's share is taken over. The same steps must find it out.
+/// Guards the test itself: a wrong rule, which redistributes failed members' shares of a limit that must never be
+/// exceeded, must fail under the same steps.
 #[test]
-fn a_rule_that_takes_over_failed_members_strict_shares_is_found_to_break_the_whole() {
+fn redistributing_failed_members_strict_shares_is_detected_as_a_violation() {
     let mut runner = TestRunner::new(Config { cases: 400, failure_persistence: None, ..Config::default() });
     let steps = World::sequential_strategy(1..60);
-    let broken = runner.run(&steps, |(mut world, steps, _)| {
+    let violation = runner.run(&steps, |(mut world, steps, _)| {
         let mut fleet = Fleet::new(|view| {
             let live_generation = view.peers().filter(|(_, status)| status.state.may_be_alive()).count();
             1.0 / (live_generation + 1) as f64
@@ -175,29 +189,29 @@
         for step in steps {
             world = World::apply(world, &step);
             fleet = fleet.apply(&world, &step);
-            fleet.holds(&world).map_err(TestCaseError::fail)?;
+            fleet.check_bounds(&world).map_err(TestCaseError::fail)?;
         }
         Ok(())
     });
-    assert!(broken.is_err_and(|error| error.to_string().contains("must never be exceeded")));
+    assert!(violation.is_err_and(|error| error.to_string().contains("must never be exceeded")));
 }
 
 proptest! {
     #![proptest_config(Config { cases: 300, failure_persistence: None, ..Config::default() })]
-    /// Two clean sides that each see themselves alone, whatever their sizes.
+    /// Two sides of any size that each see only themselves.
     #[test]
-    fn a_clean_partition_stays_within_its_own_bound(larger in 5_u16..=9) {
+    fn a_clean_partition_stays_within_the_partition_bound(larger in 5_u16..=9) {
         let later = START + Span::from_millis(60_000);
         let mut sum = 0.0;
-        for own in 0..OF {
-            let mut view = MembershipView::new(own, 0, OF, START);
-            for other in 0..OF {
-                let same = (own < larger) == (other < larger);
-                view.update(other, if same { MemberState::Alive } else { MemberState::Failed }, 1, 0, START);
+        for own in 0..MEMBER_COUNT {
+            let mut view = MembershipView::new(own, 0, MEMBER_COUNT, START);
+            for other in 0..MEMBER_COUNT {
+                let same_side = (own < larger) == (other < larger);
+                view.update(other, if same_side { MemberState::Alive } else { MemberState::Failed }, 1, 0, START);
             }
-            sum += 1.0 / quota_sharers(&view, later, 0, f64::from(OF));
+            sum += 1.0 / quota_sharers(&view, later, 0, f64::from(MEMBER_COUNT));
         }
-        let bound = 1.0 + max_partition_overrun(f64::from(larger) / f64::from(OF));
+        let bound = 1.0 + max_partition_overrun(f64::from(larger) / f64::from(MEMBER_COUNT));
         prop_assert!(sum <= bound + 1e-9, "{} over {}", sum, bound);
     }
 }
