--- a/crates/gateway/src/lifecycle/drain.rs
+++ b/crates/gateway/src/lifecycle/drain.rs
@@ -1,7 +1,7 @@
-//! The planned stop: new connections are taken for a while, all jobs are answered, then the gateway ends.
+//! Graceful shutdown: new connections are accepted for a short time, all jobs are answered, then the gateway exits.
 
 use crate::lifecycle::run::BACKLOG;
-use crate::memory::timers::Due;
+use crate::memory::timers::TimerKind;
 use crate::sockets::{Limiter, Sockets};
 use calloop::RegistrationToken;
 use fennelgauge::time::{Moment, Span};
@@ -9,84 +9,98 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Clients that have not heard of the stop still connect for up to 0.4 s.
-const TAKEN: Span = Span::from_millis(500);
-/// A request that comes whole later than this after the stop began is refused at once: the process may be killed
-/// before the job's own time is over, for those taken up to 0.7 s after it began no sooner. Clients in the middle of a
-/// request when connections are ended can come so late.
-const LAST: Span = Span::from_millis(650);
-/// With no descriptor left, connections that wait at the listener are looked for again after this.
-const AGAIN: Span = Span::from_millis(20);
+/// How long new connections are accepted after a stop request. Clients that do not know of the stop yet connect for up
+/// to 0.4 s.
+const ACCEPT_GRACE: Span = Span::from_millis(500);
+/// A request that is complete only later than this after the stop request is rejected at once, since the process may be
+/// killed before the job's deadline; that can't happen to jobs accepted up to 0.7 s after the stop request. Requests
+/// that were being received when connections were closed can be this late.
+const LATE_REQUEST_AFTER: Span = Span::from_millis(650);
+/// Time until the listener's backlog is tried again when no file descriptor was free.
+const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(20);
 
+/// State of the listener and of a graceful shutdown.
 pub struct Stop {
-    begun: Option<Moment>,
+    /// When the stop was requested.
+    begun_at: Option<Moment>,
+    /// Connections are no longer accepted or kept open.
     closed: bool,
-    /// No descriptor was left for a further connection.
-    shut: bool,
+    /// Accepting is paused because no descriptor was free.
+    accept_paused: bool,
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// Once no new connections are wanted: how many of those that waited then may be left. Clients that come without
-    /// end must not keep a stopping gateway at its listener.
-    pub waiting: Option<usize>,
+    /// After the grace period: how many more connections are accepted from the backlog. The bound keeps a steady stream
+    /// of clients from delaying the stop.
+    pub backlog_left: Option<usize>,
 }
 
 impl Stop {
+    /// Wraps a listener that is registered with the event loop under `token`.
     pub fn new(listener: Rc<TcpListener>, token: RegistrationToken) -> Self {
-        Self { begun: None, closed: false, shut: false, listener: Some((listener, token)), waiting: None }
+        Self {
+            begun_at: None,
+            closed: false,
+            accept_paused: false,
+            listener: Some((listener, token)),
+            backlog_left: None,
+        }
     }
 
-    pub fn door_is_shut(&mut self) {
-        self.shut = true;
+    /// Notes that no descriptor was free for another connection.
+    pub fn pause_accepting(&mut self) {
+        self.accept_paused = true;
     }
 
-    /// Answers end their connections from now on.
-    pub fn begun(&self) -> bool {
-        self.begun.is_some()
+    /// Returns whether a stop was requested; from then on each connection is closed after its response.
+    pub fn has_begun(&self) -> bool {
+        self.begun_at.is_some()
     }
 
-    /// No connection is kept any more.
-    pub fn closed(&self) -> bool {
+    /// Returns whether the grace period is over and idle connections are closed.
+    pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// A request that comes whole now may find no time for its answer.
+    /// Returns whether a request that is complete now is too late to be answered before the process may be killed.
     pub fn is_late(&self, now: Moment) -> bool {
-        self.begun.is_some_and(|begun| now.since(begun) > LAST)
+        self.begun_at.is_some_and(|begun| now.since(begun) > LATE_REQUEST_AFTER)
     }
 }
 
 impl Sockets {
+    /// Begins a graceful shutdown; further calls have no effect.
     pub fn stop(&mut self) {
-        if self.stop.begun.is_none() {
+        if self.stop.begun_at.is_none() {
             let now = self.clock.now();
-            self.stop.begun = Some(now);
+            self.stop.begun_at = Some(now);
             info!(jobs = self.jobs.open.len(), clients = self.clients.len(), "stopping");
-            self.timers.set(now + TAKEN, Due::Closed);
+            self.timers.schedule(now + ACCEPT_GRACE, TimerKind::StopAccepting);
         }
     }
 
-    /// Takes connections in again once there is room.
-    pub fn open_door(&mut self) {
-        if self.stop.shut && self.may_accept() {
-            self.stop.shut = false;
-            let opened = self.stop.listener.as_ref().map(|(_, token)| self.handle.enable(token));
-            if let Some(Err(error)) = opened {
-                // Tried again at the next turn.
-                self.stop.shut = true;
-                info!(%error, "the listener could not be opened again");
+    /// Resumes accepting connections once descriptors are free.
+    pub fn resume_accepting(&mut self) {
+        if self.stop.accept_paused && self.may_accept() {
+            self.stop.accept_paused = false;
+            let enabled = self.stop.listener.as_ref().map(|(_, token)| self.handle.enable(token));
+            if let Some(Err(error)) = enabled {
+                // Tried again in the next iteration of the event loop.
+                self.stop.accept_paused = true;
+                info!(%error, "could not resume accepting connections; trying again");
             }
         }
     }
 
-    /// Ends what is not wanted any more. The machine has accepted what waits at the listener, whole requests with
-    /// it: closed over them, it would reset them. They are taken in first, as descriptors are given back.
+    /// Closes the listener and idle connections. The kernel has already completed the connections in the listener's
+    /// backlog, perhaps with whole requests, and would reset them if the listener were closed. So they are accepted
+    /// first, as descriptors become free.
     pub fn close(&mut self) {
         let now = self.clock.now();
-        // The system keeps one more than it was told.
-        self.stop.waiting.get_or_insert(BACKLOG as usize + 1);
+        // The kernel queues one connection more than the configured backlog.
+        self.stop.backlog_left.get_or_insert(BACKLOG as usize + 1);
         if let Some((listener, token)) = self.stop.listener.take() {
             if !self.accept_all(&listener) {
                 self.stop.listener = Some((listener, token));
-                self.timers.set(now + AGAIN, Due::Closed);
+                self.timers.schedule(now + ACCEPT_RETRY_INTERVAL, TimerKind::StopAccepting);
                 return self.end_idle_clients();
             }
             self.handle.remove(token);
@@ -99,7 +113,7 @@
     }
 }
 
-/// Nothing is owed to anybody any more.
-pub fn is_over(limiter: &Limiter) -> bool {
+/// Returns whether the shutdown is complete: no client connection is left.
+pub fn is_finished(limiter: &Limiter) -> bool {
     limiter.host.stop.closed && limiter.host.clients.is_empty()
 }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start, readiness and stop.
+//! Start, event loop and shutdown of the gateway.
 
 pub mod clock;
 pub mod configuration;
--- a/crates/gateway/src/lifecycle/run.rs
+++ b/crates/gateway/src/lifecycle/run.rs
@@ -1,18 +1,18 @@
-//! Start and loop.
+//! Start of the gateway and its event loop.
 
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::configuration::{self, Addresses, Start};
+use crate::lifecycle::configuration::{self, Addresses, StartConfiguration};
 use crate::lifecycle::drain::{self, Stop};
 use crate::memory::jobs::Jobs;
-use crate::memory::machines::Machines;
-use crate::memory::timers::{Due, Timers};
-use crate::peers::{Peers, Wanted};
+use crate::memory::machines::ServerTable;
+use crate::memory::timers::{TimerKind, Timers};
+use crate::peers::{PeerSettings, Peers};
 use crate::sockets::{settle, Limiter, Moved, Sockets};
 use crate::wire::client;
 use crate::wire::counter::Counter;
 use crate::wire::discovery::{self, Discovery};
 use crate::wire::http;
-use crate::wire::request::Names;
+use crate::wire::request::RequestNames;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction};
@@ -28,35 +28,44 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Descriptors for what is no client's and no server's: the loop, signals, listener, counter, discovery, log.
-const KEPT_BACK: usize = 16 + client::RESERVE;
-/// A part of the shortest time that anything swept may stand.
-const SWEEP: Span = Span::from_millis(250);
-/// Connections that wait to be accepted: hundreds may come at once, and one that is not taken is tried again by
-/// its client's machine only after a second.
+/// File descriptors reserved for other uses than client and server connections: event loop, signals, listener, counter,
+/// discovery, log.
+const RESERVED_DESCRIPTORS: usize = 16 + client::RESERVE;
+/// Interval of the checks for idle or stalled connections and expired entries; a fraction of the shortest time limit
+/// that they enforce.
+const SWEEP_INTERVAL: Span = Span::from_millis(250);
+/// Backlog of the listener. Hundreds of connections may arrive at once, and the client's TCP stack repeats a dropped
+/// attempt only after a second.
 pub const BACKLOG: i32 = 1_024;
-/// After a stall all that has come is taken in before timers are judged; a flood ends this after so many looks.
-const LOOKS: usize = 8;
-/// A process may be stopped, or short of its share of a core, amid what it takes in. What came meanwhile goes before
-/// the rest: a small part of the tenth of a second in which a client's leaving is heeded, and of any drain's grace.
-const FRESH: Span = Span::from_millis(20);
+/// After a stall, all pending input is processed before timers are run; this bounds the number of polls for input, in
+/// case of a flood.
+const MAX_POLLS: usize = 8;
+/// If more time has passed since the last poll, for example because the process was paused, the event loop polls for
+/// new input before it continues. It is a small part of the 0.1 s within which a client's disconnect must be noticed,
+/// and of the grace period of any drain.
+const MAX_POLL_AGE: Span = Span::from_millis(20);
 
-/// Runs a gateway; `path` is where its configuration may be read anew.
-pub fn run(start: Start, path: PathBuf, operator: OperatorConfig) -> Result<(), Box<dyn std::error::Error>> {
+/// Runs a gateway until its graceful shutdown is complete. SIGHUP reloads the configuration file at `path`. Errs if the
+/// event loop or the listener cannot be set up.
+pub fn run(
+    start: StartConfiguration,
+    path: PathBuf,
+    operator: OperatorConfig,
+) -> Result<(), Box<dyn std::error::Error>> {
     let mut events: EventLoop<'static, Limiter> = EventLoop::try_new()?;
     let handle = events.handle();
-    let mut wanted = vec![Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
+    let mut signals_handled = vec![Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
     if operator.membership.enabled {
-        wanted.push(Signal::SIGUSR1);
+        signals_handled.push(Signal::SIGUSR1);
     }
-    let signals = Signals::new(&wanted)?;
-    let signalled =
+    let signals = Signals::new(&signals_handled)?;
+    let on_signal =
         move |signal: calloop::signals::Event, _: &mut (), limiter: &mut Limiter| match signal.signal() {
             Signal::SIGHUP => limiter.host.reload(&path),
-            Signal::SIGUSR1 => limiter.host.tell_view(),
+            Signal::SIGUSR1 => limiter.host.log_view(),
             _ => limiter.host.stop(),
         };
-    handle.insert_source(signals, signalled).map_err(|error| error.error)?;
+    handle.insert_source(signals, on_signal).map_err(|error| error.error)?;
     let listener = TcpListener::bind(start.listen)?;
     let listen = listener.local_addr()?;
     listener.set_nonblocking(true)?;
@@ -74,40 +83,41 @@
     let launch = start.settings;
     let peers = Peers::open(
         now,
-        &Wanted {
+        &PeerSettings {
             membership: operator.membership,
             listen: start.peer_listen.as_ref(),
             peers: start.peers.as_ref(),
-            own: launch.deployment.own_index,
-            gateways: launch.deployment.gateway_count,
+            own_index: launch.deployment.own_index,
+            gateway_count: launch.deployment.gateway_count,
             zone: launch.own_zone,
-            mail_per_s: launch.peer_messages_per_s,
+            max_datagrams_per_s: launch.peer_messages_per_s,
             seed: start.seed,
         },
     );
     if let Some(peers) = &peers {
         let source = Generic::new(peers.socket(), Interest::READ, Mode::Level);
-        let came = |_: calloop::Readiness, _: &mut _, limiter: &mut Limiter| {
+        let on_readable = |_: calloop::Readiness, _: &mut _, limiter: &mut Limiter| {
             limiter.host.note(Moved::Peers);
             Ok(PostAction::Continue)
         };
-        handle.insert_source(source, came).map_err(|error| error.error)?;
+        handle.insert_source(source, on_readable).map_err(|error| error.error)?;
     }
-    let bands = launch.deployment.classes.iter();
-    let names = Names {
-        repeats: bands.map(|band| band.repeat).collect(),
-        bands: launch.service_class_names,
+    let classes = launch.deployment.classes.iter();
+    let names = RequestNames {
+        repeat_policies: classes.map(|class| class.repeat).collect(),
+        classes: launch.service_class_names,
         plans: launch.plan_names,
-        most_units: launch.max_units,
-        gateways: launch.deployment.gateway_count,
+        max_units: launch.max_units,
+        gateway_count: launch.deployment.gateway_count,
     };
     let memory = start.limits.memory_mb.saturating_mul(1024 * 1024);
-    let by_memory = memory / http::MOST_MESSAGE;
-    // The system may allow fewer than the file: discovery and the counter would be refused theirs.
+    let max_by_memory = memory / http::MAX_REQUEST;
+    // The system's limit may be lower than the configured one; without this, discovery and counter connections would
+    // fail.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    let files =
+    let max_descriptors =
         allowed.and_then(|it| usize::try_from(it).ok()).unwrap_or(usize::MAX).min(start.limits.sockets);
-    let most = files.saturating_sub(KEPT_BACK).min(by_memory).max(2);
+    let most = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).min(max_by_memory).max(2);
     let sockets = Sockets {
         handle,
         clock,
@@ -117,16 +127,16 @@
         names,
         clients: HashMap::new(),
         links: HashMap::new(),
-        machines: Machines::default(),
+        machines: ServerTable::default(),
         zones: launch.zone_names,
-        // A good part less than the server allows, for the way there.
+        // Shorter than the server's own idle timeout, to allow for the network delay.
         idle: launch.server_idle_timeout.times(0.75),
         connect_within: launch.connect_timeout,
         counter: Counter::new(start.counter, launch.counter_timeout),
         discovery: Discovery::new(start.discovery, start.known),
         peers,
         stop: Stop::new(listener, token),
-        // A job needs a connection on either side, but for the time that it is held only its client's.
+        // A job needs a client and a server connection, but while it is queued only that of its client.
         most_clients: (most * 3 / 5).max(1),
         most,
         most_answer: memory / 16,
@@ -141,29 +151,29 @@
         resumed: VecDeque::new(),
     };
     let mut limiter = Gateway::start(now, sockets, launch.deployment, start.seed);
-    limiter.host.follow_discovery();
-    limiter.host.timers.set(now + SWEEP, Due::Sweep);
+    limiter.host.start_discovery();
+    limiter.host.timers.schedule(now + SWEEP_INTERVAL, TimerKind::Sweep);
     settle(&mut limiter);
     info!(name = start.name, %listen, "started");
-    while !drain::is_over(&limiter) {
-        turn(&mut events, &mut limiter)?;
+    while !drain::is_finished(&limiter) {
+        run_once(&mut events, &mut limiter)?;
     }
     info!("stopped");
     Ok(())
 }
 
-/// Waits for what comes next, and takes it in: lists first, clients last. What a look found is as old as its
-/// beginning: a process may be stopped, or lose its core, between the system's answer and its own next step.
-fn look(
+/// Waits for input and processes it in the order of [`Moved`]: server lists first, clients last. Input counts as of the
+/// moment when the poll began, since the process may be paused between the poll's return and its next step.
+fn poll_events(
     events: &mut EventLoop<'static, Limiter>,
     limiter: &mut Limiter,
     wait: Option<Duration>,
 ) -> calloop::Result<()> {
     limiter.host.looked = limiter.host.clock.now();
     events.dispatch(wait, limiter)?;
-    let mut looks = 0..LOOKS;
+    let mut polls_left = 0..MAX_POLLS;
     loop {
-        if limiter.host.is_stale() && looks.next().is_some() {
+        if limiter.host.is_stale() && polls_left.next().is_some() {
             limiter.host.looked = limiter.host.clock.now();
             events.dispatch(Duration::ZERO, limiter)?;
         }
@@ -174,51 +184,53 @@
     Ok(())
 }
 
-/// Waits for what comes next, takes it in, then sees to what is due.
-fn turn(events: &mut EventLoop<'static, Limiter>, limiter: &mut Limiter) -> calloop::Result<()> {
+/// Runs one iteration of the event loop: waits for input, processes it, then runs expired timers.
+fn run_once(events: &mut EventLoop<'static, Limiter>, limiter: &mut Limiter) -> calloop::Result<()> {
     let now = limiter.host.clock.now();
     let wait = limiter.host.next_wake(now).map(|at| Duration::from_micros(at.since(now).micros()));
-    let mut before = limiter.host.moves;
-    look(events, limiter, wait)?;
-    // A late loop has input to take in before anything is held to be late.
-    for _ in 0..LOOKS {
+    let mut moves_before = limiter.host.moves;
+    poll_events(events, limiter, wait)?;
+    // If timers are already overdue, processes pending input before anything counts as timed out.
+    for _ in 0..MAX_POLLS {
         let now = limiter.host.clock.now();
-        if limiter.host.moves == before || limiter.host.next_wake(now).is_none_or(|at| at > now) {
+        if limiter.host.moves == moves_before || limiter.host.next_wake(now).is_none_or(|at| at > now) {
             break;
         }
-        before = limiter.host.moves;
-        look(events, limiter, Some(Duration::ZERO))?;
+        moves_before = limiter.host.moves;
+        poll_events(events, limiter, Some(Duration::ZERO))?;
     }
-    limiter.host.open_door();
+    limiter.host.resume_accepting();
     let by = limiter.host.clock.now();
-    if let Some(peers) = limiter.host.peers.as_mut().filter(|peers| peers.next(by) <= by) {
-        peers.due(by);
+    if let Some(peers) = limiter.host.peers.as_mut().filter(|peers| peers.next_due_at(by) <= by) {
+        peers.run_due(by);
         settle(limiter);
     }
-    let mut looks = 0..LOOKS;
+    let mut polls_left = 0..MAX_POLLS;
     while let Some((_, due)) = limiter.host.next_due().filter(|(at, _)| *at <= by) {
-        if limiter.host.is_stale() && looks.next().is_some() {
-            look(events, limiter, Some(Duration::ZERO))?;
+        if limiter.host.is_stale() && polls_left.next().is_some() {
+            poll_events(events, limiter, Some(Duration::ZERO))?;
             continue;
         }
         limiter.host.timers.pop();
         let now = limiter.host.clock.now();
         match due {
-            Due::Module(mark) => limiter.timer_fired(now, mark),
-            Due::Patience(key, _) => limiter.host.close_link(key, Some(Outcome::TimedOut), "timed out"),
-            Due::Connected(key) => limiter.host.close_link(key, None, "never came up"),
-            Due::Counted(number) => limiter.host.call_over(number),
-            Due::Serve(key) => client::moved(limiter, key),
-            Due::Watch => limiter.host.watch(),
-            Due::Known => discovery::use_known_list(limiter),
-            Due::Closed => limiter.host.close(),
-            Due::Sweep => {
+            TimerKind::Policy(id) => limiter.timer_fired(now, id),
+            TimerKind::RelayTimeout(key, _) => {
+                limiter.host.close_link(key, Some(Outcome::TimedOut), "timed out")
+            }
+            TimerKind::ConnectTimeout(key) => limiter.host.close_link(key, None, "never came up"),
+            TimerKind::CounterTimeout(number) => limiter.host.counter_call_timed_out(number),
+            TimerKind::ServeClient(key) => client::moved(limiter, key),
+            TimerKind::PollDiscovery => limiter.host.connect_and_poll(),
+            TimerKind::DiscoveryTimeout => discovery::use_configured_list(limiter),
+            TimerKind::StopAccepting => limiter.host.close(),
+            TimerKind::Sweep => {
                 limiter.host.sweep_clients(now);
                 limiter.host.sweep_links(now);
-                limiter.host.machines.forget(now);
+                limiter.host.machines.remove_expired(now);
                 limiter.host.sweep_counter(now);
                 limiter.host.sweep_discovery(now);
-                limiter.host.timers.set(now + SWEEP, Due::Sweep);
+                limiter.host.timers.schedule(now + SWEEP_INTERVAL, TimerKind::Sweep);
             }
         }
         settle(limiter);
@@ -227,7 +239,7 @@
 }
 
 impl Sockets {
-    /// Goes over to the addresses that the file has now. One that cannot be read changes nothing.
+    /// Reloads the addresses from the configuration file. If it cannot be read, nothing changes.
     fn reload(&mut self, path: &Path) {
         match configuration::read::<Addresses>(path) {
             Ok(Addresses { discovery, counter }) => {
@@ -239,60 +251,69 @@
         }
     }
 
-    /// What has come since the last look may change what is to be done.
+    /// Returns whether the last poll is so old that newer input should be processed first.
     fn is_stale(&self) -> bool {
-        self.clock.now().since(self.looked) > FRESH
+        self.clock.now().since(self.looked) > MAX_POLL_AGE
     }
 
-    /// When something is due: a timer, or a word to the other gateways.
+    /// Returns when the next timer, or the membership, has to run.
     fn next_wake(&mut self, now: Moment) -> Option<Moment> {
         let timer = self.next_due().map(|(at, _)| at);
-        let peers = self.peers.as_ref().map(|peers| peers.next(now));
+        let peers = self.peers.as_ref().map(|peers| peers.next_due_at(now));
         timer.into_iter().chain(peers).min()
     }
 
-    fn tell_view(&mut self) {
+    /// Logs the membership view, if membership is on.
+    fn log_view(&mut self) {
         let now = self.clock.now();
         if let Some(peers) = &mut self.peers {
-            peers.tell_view(now);
+            peers.log_view(now);
         }
     }
 
-    /// The first timer whose cause has not ended otherwise: most have, and each would wake the loop for nothing.
-    fn next_due(&mut self) -> Option<(Moment, Due)> {
+    /// Returns the first timer that still applies. Most timers become obsolete before they expire and would wake the
+    /// event loop needlessly.
+    fn next_due(&mut self) -> Option<(Moment, TimerKind)> {
         let Self { timers, jobs, links, counter, .. } = self;
-        timers.next(|due| match due {
-            Due::Module(mark) => mark >= JOB_ID_LIMIT || jobs.open.contains_key(&mark),
-            Due::Patience(key, serial) => links.get(&key).is_some_and(|link| link.carries(serial)),
-            Due::Connected(key) => links.get(&key).is_some_and(|link| !link.up),
-            Due::Counted(number) => counter.awaits(number),
-            Due::Serve(_) | Due::Watch | Due::Known | Due::Sweep | Due::Closed => true,
+        timers.peek_relevant(|due| match due {
+            TimerKind::Policy(id) => id >= JOB_ID_LIMIT || jobs.open.contains_key(&id),
+            TimerKind::RelayTimeout(key, serial) => {
+                links.get(&key).is_some_and(|link| link.carries_relay(serial))
+            }
+            TimerKind::ConnectTimeout(key) => links.get(&key).is_some_and(|link| !link.up),
+            TimerKind::CounterTimeout(number) => counter.is_pending(number),
+            TimerKind::ServeClient(_)
+            | TimerKind::PollDiscovery
+            | TimerKind::DiscoveryTimeout
+            | TimerKind::Sweep
+            | TimerKind::StopAccepting => true,
         })
     }
 
-    /// False once no descriptor is left: the others wait until one is. True where none is left that is taken.
+    /// Accepts all waiting connections. Returns false if descriptors ran out first: the remaining ones wait until some
+    /// are free.
     pub fn accept_all(&mut self, listener: &TcpListener) -> bool {
         self.moves += 1;
         while self.may_accept() {
-            if self.stop.waiting == Some(0) {
+            if self.stop.backlog_left == Some(0) {
                 return true;
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    self.stop.waiting = self.stop.waiting.map(|left| left - 1);
+                    self.stop.backlog_left = self.stop.backlog_left.map(|left| left - 1);
                     self.accept(stream);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
                 Err(error) => {
-                    // The system has no more descriptors than this process holds: some must be closed first.
+                    // The process or the system has no free descriptor: some must be closed first.
                     info!(side = "client", reason = "not accepted", %error);
                     break;
                 }
             }
         }
-        self.stop.door_is_shut();
+        self.stop.pause_accepting();
         false
     }
 }
--- a/crates/gateway/src/memory/channel.rs
+++ b/crates/gateway/src/memory/channel.rs
@@ -1,4 +1,4 @@
-//! One connection: its bytes on the way in and out.
+//! A non-blocking TCP connection with its input and output buffers.
 
 use crate::sockets::{Limiter, Moved};
 use calloop::generic::Generic;
@@ -8,31 +8,40 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
+/// A TCP connection that is registered with the event loop.
 pub struct Channel {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
+    /// Bytes received and not consumed yet.
     pub input: Vec<u8>,
+    /// Bytes to send; [`Self::flush`] clears them once all are written.
     pub output: Vec<u8>,
+    /// Number of bytes of `output` that are written.
     written: usize,
-    /// More has come than was read; no further event will tell of it.
-    pub stuffed: bool,
+    /// The last read stopped at its limit, so more data may wait, for which the edge-triggered event loop sends no
+    /// event.
+    pub may_have_more: bool,
 }
 
-/// How reading left a connection.
+/// State of a connection after a read.
 #[derive(PartialEq, Eq)]
-pub enum Filled {
+pub enum ReadOutcome {
+    /// The peer may send more.
     Open,
-    Ended,
-    Broken,
+    /// The peer has finished sending.
+    Eof,
+    /// The connection failed.
+    Failed,
 }
 
-/// Buffers that grew beyond this for a large message give their memory back.
-const KEPT: usize = 16 * 1024;
-/// Room for a usual message, so that one read takes it.
-const USUAL: usize = 2 * 1024;
+/// An empty buffer with more capacity than this, in bytes, is released.
+const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
+/// Buffer space, in bytes, with which a typical message is received in one read.
+const TYPICAL_MESSAGE_BYTES: usize = 2 * 1024;
 
 impl Channel {
-    /// Has `moved` noted whenever bytes may be read or written.
+    /// Registers a connected stream: `moved` is noted whenever it becomes readable or writable. Errs if registration
+    /// fails.
     pub fn new(handle: &LoopHandle<'static, Limiter>, stream: TcpStream, moved: Moved) -> io::Result<Self> {
         let stream = Rc::new(stream);
         let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
@@ -41,10 +50,10 @@
             Ok(PostAction::Continue)
         });
         let token = inserted.map_err(|error| io::Error::other(error.to_string()))?;
-        Ok(Self { stream, token, input: Vec::new(), output: Vec::new(), written: 0, stuffed: false })
+        Ok(Self { stream, token, input: Vec::new(), output: Vec::new(), written: 0, may_have_more: false })
     }
 
-    /// Begins to connect; the connection moves when it has come up or failed.
+    /// Starts to connect to `address`; `moved` is noted when the connection is established or has failed.
     pub fn connect(
         handle: &LoopHandle<'static, Limiter>,
         address: SocketAddr,
@@ -62,7 +71,7 @@
         Self::new(handle, stream, moved)
     }
 
-    /// Whether a connection that was begun has come up.
+    /// Returns whether the connection is established. Errs if it failed.
     pub fn is_up(&self) -> io::Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -70,51 +79,52 @@
         }
     }
 
-    /// Reads all that has come, as long as no more than `most` bytes wait to be used.
-    pub fn fill(&mut self, most: usize) -> Filled {
-        let room = most.saturating_sub(self.input.len());
-        if self.input.capacity() - self.input.len() < USUAL / 2 {
-            self.input.reserve(USUAL);
+    /// Reads available bytes into `input`, up to a total of `max_bytes` there.
+    pub fn fill(&mut self, max_bytes: usize) -> ReadOutcome {
+        let room = max_bytes.saturating_sub(self.input.len());
+        if self.input.capacity() - self.input.len() < TYPICAL_MESSAGE_BYTES / 2 {
+            self.input.reserve(TYPICAL_MESSAGE_BYTES);
         }
         let read = (&*self.stream).take(room as u64).read_to_end(&mut self.input);
-        self.stuffed = matches!(read, Ok(bytes) if bytes == room);
+        self.may_have_more = matches!(read, Ok(bytes) if bytes == room);
         match read {
-            Ok(bytes) if bytes < room => Filled::Ended,
-            Ok(_) => Filled::Open,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Filled::Open,
-            Err(_) => Filled::Broken,
+            Ok(bytes) if bytes < room => ReadOutcome::Eof,
+            Ok(_) => ReadOutcome::Open,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadOutcome::Open,
+            Err(_) => ReadOutcome::Failed,
         }
     }
 
-    /// Reads over what has come, up to `most` bytes, so that an end that stands behind it is seen.
-    pub fn skip(&mut self, most: usize) -> Filled {
-        let (mut bytes, mut left) = ([0; KEPT], most);
+    /// Reads and discards up to about `max_bytes` bytes, in order to notice whether the peer has closed the connection.
+    pub fn skip(&mut self, max_bytes: usize) -> ReadOutcome {
+        let (mut bytes, mut left) = ([0; MAX_RETAINED_CAPACITY], max_bytes);
         loop {
             match (&*self.stream).read(&mut bytes) {
-                Ok(0) => return Filled::Ended,
+                Ok(0) => return ReadOutcome::Eof,
                 Ok(read) => left = left.saturating_sub(read),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.stuffed = false;
-                    return Filled::Open;
+                    self.may_have_more = false;
+                    return ReadOutcome::Open;
                 }
-                Err(_) => return Filled::Broken,
+                Err(_) => return ReadOutcome::Failed,
             }
             if left == 0 {
-                return Filled::Open;
+                return ReadOutcome::Open;
             }
         }
     }
 
-    /// Lets go of the first bytes of the input.
-    pub fn used(&mut self, bytes: usize) {
+    /// Removes the first `bytes` bytes of the input.
+    pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes.min(self.input.len()));
-        if self.input.is_empty() && self.input.capacity() > KEPT {
+        if self.input.is_empty() && self.input.capacity() > MAX_RETAINED_CAPACITY {
             self.input = Vec::new();
         }
     }
 
-    /// Writes what the other side takes now; true once nothing is left.
+    /// Writes as much of the output as possible and returns whether all of it is written. Errs if the connection
+    /// failed.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.output.len() {
             match (&*self.stream).write(&self.output[self.written..]) {
@@ -127,23 +137,24 @@
         }
         self.output.clear();
         self.written = 0;
-        if self.output.capacity() > KEPT {
+        if self.output.capacity() > MAX_RETAINED_CAPACITY {
             self.output = Vec::new();
         }
         Ok(true)
     }
 
-    /// Bytes that are not written yet.
+    /// Returns the number of output bytes that are not written yet.
     pub fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Ends the sending; the other side may finish its own.
-    pub fn end(&self) {
-        // Fails only where the other side is gone, which reading tells.
+    /// Closes the sending direction; the peer may still send.
+    pub fn shutdown_write(&self) {
+        // Errs only if the peer is gone, which reading detects.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
+    /// Unregisters and closes the connection.
     pub fn close(self, handle: &LoopHandle<'static, Limiter>) {
         handle.remove(self.token);
     }
--- a/crates/gateway/src/memory/jobs.rs
+++ b/crates/gateway/src/memory/jobs.rs
@@ -1,35 +1,43 @@
-//! The jobs that were taken and not answered.
+//! The jobs that were accepted and are not answered yet.
 
-use crate::wire::request::Onward;
+use crate::wire::request::ForwardedRequest;
 use fennelgauge::host::JobId;
 use std::collections::{HashMap, HashSet};
 
+/// An open job.
 pub struct Job {
-    /// The client's connection.
+    /// Key of the client's connection.
     pub client: u64,
-    pub onward: Onward,
+    /// The request as it is forwarded to a server.
+    pub onward: ForwardedRequest,
+    /// Number of relays so far.
     pub relays: u8,
-    /// The connection that the latest relay is out on.
+    /// Key of the server connection that carries the latest relay.
     pub out: Option<u64>,
 }
 
+/// All open jobs.
 #[derive(Default)]
 pub struct Jobs {
-    taken: JobId,
+    /// Id of the job accepted last.
+    last_id: JobId,
+    /// Open jobs by id.
     pub open: HashMap<JobId, Job>,
-    /// The ids that clients gave to these.
+    /// The clients' own ids of the open jobs.
     pub ids: HashSet<String>,
 }
 
 impl Jobs {
-    pub fn take(&mut self, client: u64, onward: Onward) -> JobId {
-        self.taken += 1;
+    /// Adds a job and returns its new id.
+    pub fn accept(&mut self, client: u64, onward: ForwardedRequest) -> JobId {
+        self.last_id += 1;
         self.ids.insert(onward.id.clone());
-        self.open.insert(self.taken, Job { client, onward, relays: 0, out: None });
-        self.taken
+        self.open.insert(self.last_id, Job { client, onward, relays: 0, out: None });
+        self.last_id
     }
 
-    pub fn end(&mut self, id: JobId) -> Option<Job> {
+    /// Removes a job that has ended and returns it.
+    pub fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.open.remove(&id)?;
         self.ids.remove(&job.onward.id);
         Some(job)
--- a/crates/gateway/src/memory/machines.rs
+++ b/crates/gateway/src/memory/machines.rs
@@ -1,4 +1,4 @@
-//! The servers' addresses, and the connections to them that may be used again.
+//! The known servers: their addresses, and the connections to them.
 
 use crate::memory::channel::Channel;
 use crate::wire::discovery::{Health, Line, Listing};
@@ -11,111 +11,127 @@
 
 /// A connection to a server.
 pub struct Link {
+    /// The TCP connection.
     pub channel: Channel,
+    /// The server it leads to.
     pub server: ServerId,
-    /// It has come up.
+    /// Whether the connection is established.
     pub up: bool,
+    /// The relay that the connection carries, if any.
     pub out: Option<Relay>,
-    /// Since when it stands idle.
+    /// Since when the connection is idle.
     pub idle: Moment,
 }
 
 impl Link {
-    /// The relay of that serial is on its way.
-    pub fn carries(&self, serial: u64) -> bool {
+    /// Returns whether the connection carries the relay with that serial number.
+    pub fn carries_relay(&self, serial: u64) -> bool {
         self.out.as_ref().is_some_and(|out| out.serial == serial)
     }
 }
 
-/// A relay on its way, or waiting for its connection to come up.
+/// A relay that was sent, or waits for its connection to be established.
 pub struct Relay {
+    /// The job that is forwarded.
     pub job: JobId,
-    /// Of its job, from 0.
+    /// Number of the relay within its job, from 0.
     pub number: u8,
-    /// Of all relays.
+    /// Number of the relay among all relays of this process.
     pub serial: u64,
+    /// When it was started.
     pub sent: Moment,
-    /// Its request was handed to the connection: until then it can be taken back as never sent.
+    /// Whether its request was passed to the connection; until then it can be cancelled as never sent.
     pub begun: bool,
 }
 
-/// A server that is gone is remembered for so long: lists may contradict one another for a while, and one that
-/// comes back must be known again.
-const REMEMBERED: Span = Span::from_millis(60_000);
+/// How long a removed server is remembered. Successive lists may contradict one another for a while, and a server that
+/// comes back must keep its id.
+const REMOVED_SERVER_TTL: Span = Span::from_millis(60_000);
 
+/// A server that service discovery has listed.
 #[derive(Default)]
-pub struct Machine {
+pub struct KnownServer {
+    /// Where it accepts connections; `None` if the listed address is invalid.
     pub address: Option<SocketAddr>,
+    /// Its start in milliseconds of Unix time; 0 if it was long ago.
     born_ms: u64,
-    /// Since when it is gone.
-    gone: Option<Moment>,
-    /// Idle connections, the latest used last.
+    /// When it was removed from the list.
+    removed_at: Option<Moment>,
+    /// Keys of its idle connections, the most recently used last.
     pub idle: Vec<u64>,
 }
 
+/// All known servers.
 #[derive(Default)]
-pub struct Machines {
+pub struct ServerTable {
+    /// Ids by host name.
     ids: HashMap<String, ServerId>,
-    pub by_id: HashMap<ServerId, Machine>,
+    /// Servers by id.
+    pub by_id: HashMap<ServerId, KnownServer>,
 }
 
-impl Machines {
-    /// Brings addresses up to a listing; returns the module's entries, and the servers whose connections are of
-    /// no more use, as they are going, have moved or have started again.
-    pub fn learn(
+impl ServerTable {
+    /// Applies a list of servers. Returns the roster entries for the policy module, and the servers to which no
+    /// existing connection may be reused, because they are not in service, have another address or have restarted.
+    pub fn apply_listing(
         &mut self,
         now: Moment,
         listing: Listing,
         zones: &[String],
     ) -> (Vec<RosterEntry>, HashSet<ServerId>) {
-        let (mut entries, mut left) = (Vec::with_capacity(listing.hosts.len()), HashSet::new());
+        let (mut entries, mut obsolete) = (Vec::with_capacity(listing.hosts.len()), HashSet::new());
         if listing.whole {
-            // What the list lacks is gone; what it has is set below.
-            self.by_id.values_mut().for_each(|machine| machine.gone = machine.gone.or(Some(now)));
+            // Servers missing from a complete list are removed; listed ones are updated below.
+            self.by_id.values_mut().for_each(|machine| machine.removed_at = machine.removed_at.or(Some(now)));
         }
         for line in listing.hosts {
             let by_id = &self.by_id;
-            let server = *self.ids.entry(line.host.clone()).or_insert_with(|| number(&line.host, by_id));
+            let server = *self.ids.entry(line.host.clone()).or_insert_with(|| server_id(&line.host, by_id));
             let machine = self.by_id.entry(server).or_default();
-            let gone = matches!(line.health, Health::Terminated);
-            machine.gone = gone.then(|| machine.gone.unwrap_or(now));
+            let is_removed = matches!(line.health, Health::Terminated);
+            machine.removed_at = is_removed.then(|| machine.removed_at.unwrap_or(now));
             let address = line.dial.parse().ok();
-            let stays = matches!(line.health, Health::InService);
-            if !stays || address != machine.address || line.born_ms != machine.born_ms {
-                left.insert(server);
+            let in_service = matches!(line.health, Health::InService);
+            if !in_service || address != machine.address || line.born_ms != machine.born_ms {
+                obsolete.insert(server);
             }
             (machine.address, machine.born_ms) = (address, line.born_ms);
-            entries.push(entry(server, &line, zones));
+            entries.push(roster_entry(server, &line, zones));
         }
         if listing.whole {
-            left.extend(self.by_id.iter().filter(|(_, machine)| machine.gone.is_some()).map(|(id, _)| *id));
+            obsolete.extend(
+                self.by_id.iter().filter(|(_, machine)| machine.removed_at.is_some()).map(|(id, _)| *id),
+            );
         }
-        (entries, left)
+        (entries, obsolete)
     }
 
-    /// Forgets servers long gone: in a fleet that is replaced without end they would fill the memory.
-    pub fn forget(&mut self, now: Moment) {
-        let old = |machine: &Machine| machine.gone.is_some_and(|gone| now.since(gone) > REMEMBERED);
-        self.by_id.retain(|_, machine| !old(machine));
+    /// Removes servers after [`REMOVED_SERVER_TTL`]; otherwise constant replacement of servers would fill the memory.
+    pub fn remove_expired(&mut self, now: Moment) {
+        let is_expired =
+            |machine: &KnownServer| machine.removed_at.is_some_and(|at| now.since(at) > REMOVED_SERVER_TTL);
+        self.by_id.retain(|_, machine| !is_expired(machine));
         let by_id = &self.by_id;
         self.ids.retain(|_, id| by_id.contains_key(id));
     }
 }
 
-/// A server's number follows from its name: every gateway cuts its slice of the servers by their numbers, and one
-/// that began with another list, or began anew, must not cut another ring.
-fn number(host: &str, taken: &HashMap<ServerId, Machine>) -> ServerId {
+/// Derives a server's id from its host name. All gateways choose their subsets of servers by ids, so gateways that
+/// started with another list, or restarted, must compute the same ids.
+fn server_id(host: &str, taken: &HashMap<ServerId, KnownServer>) -> ServerId {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
-    let mut number = hasher.finish() as ServerId;
-    // Two names of a few hundred meet once in some ten thousand fleets; the second goes on to the next number.
-    while taken.contains_key(&number) {
-        number = number.wrapping_add(1);
+    let mut id = hasher.finish() as ServerId;
+    // Among a few hundred names, two have the same hash in one of ten thousand deployments; the second gets the next
+    // id.
+    while taken.contains_key(&id) {
+        id = id.wrapping_add(1);
     }
-    number
+    id
 }
 
-fn entry(server: ServerId, line: &Line, zones: &[String]) -> RosterEntry {
+/// Converts a line of the list to a roster entry.
+fn roster_entry(server: ServerId, line: &Line, zones: &[String]) -> RosterEntry {
     let zone = zones.iter().position(|zone| *zone == line.site);
     RosterEntry {
         server,
--- a/crates/gateway/src/memory/mod.rs
+++ b/crates/gateway/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory.
+//! State in memory: connections, jobs, known servers, timers.
 
 pub mod channel;
 pub mod jobs;
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -3,13 +3,13 @@
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::drain::Stop;
 use crate::memory::jobs::Jobs;
-use crate::memory::machines::{Link, Machines};
-use crate::memory::timers::{Due, Timers};
+use crate::memory::machines::{Link, ServerTable};
+use crate::memory::timers::{TimerKind, Timers};
 use crate::peers::{self, Peers};
 use crate::wire::client::{self, Client};
 use crate::wire::counter::{self, Counter};
 use crate::wire::discovery::{self, Discovery};
-use crate::wire::request::{self, Names};
+use crate::wire::request::{self, RequestNames};
 use crate::wire::server;
 use calloop::LoopHandle;
 use fennelgauge::choice::Gateway;
@@ -38,7 +38,7 @@
             Self::Discovery(key) => discovery::moved(limiter, key),
             Self::Server(key) => server::moved(limiter, key),
             Self::Counter(key) => counter::moved(limiter, key),
-            Self::Peers => peers::moved(limiter),
+            Self::Peers => peers::on_readable(limiter),
             Self::Client(key) => client::moved(limiter, key),
         }
     }
@@ -52,10 +52,10 @@
     /// How often the module may be woken at most.
     pub tick: Span,
     pub jobs: Jobs,
-    pub names: Names,
+    pub names: RequestNames,
     pub clients: HashMap<u64, Client>,
     pub links: HashMap<u64, Link>,
-    pub machines: Machines,
+    pub machines: ServerTable,
     pub zones: Vec<String>,
     pub idle: Span,
     pub connect_within: Span,
@@ -112,7 +112,7 @@
             limiter.job_closed(now, job);
         } else if let Some(key) = limiter.host.resumed.pop_front() {
             client::serve(limiter, key);
-        } else if let Some((name, total)) = limiter.host.peers.as_mut().and_then(Peers::counted) {
+        } else if let Some((name, total)) = limiter.host.peers.as_mut().and_then(Peers::next_outcome) {
             limiter.peer_count_replied(now, name, total);
         } else if !limiter.host.flush_calls() {
             if let Some(peers) = &mut limiter.host.peers {
@@ -125,7 +125,7 @@
 
 impl Host for Sockets {
     fn relay(&mut self, job: JobId, server: ServerId, patience: Span) {
-        self.look_at_client_of(job);
+        self.check_client_of(job);
         let now = self.clock.now();
         let Some(record) = self.jobs.open.get_mut(&job) else {
             let end =
@@ -134,7 +134,7 @@
         };
         let number = record.relays;
         record.relays = number.saturating_add(1);
-        match self.link_to(server, now) {
+        match self.connection_to(server, now) {
             Ok(key) => self.send(key, job, number, now, patience),
             Err(outcome) => self.ended.push_back(RelayEnd {
                 job,
@@ -155,18 +155,18 @@
     }
 
     fn reject(&mut self, job: JobId, hold_off: Option<Span>) {
-        self.finish(job, |out, keep| request::own(out, 429, hold_off, keep));
+        self.finish(job, |out, keep| request::write_response(out, 429, hold_off, keep));
     }
 
     fn fail(&mut self, job: JobId) {
-        self.finish(job, |out, keep| request::own(out, 502, None, keep));
+        self.finish(job, |out, keep| request::write_response(out, 502, None, keep));
     }
 
     fn set_timer(&mut self, after: Span, mark: u64) {
         // Never at once, and all that is due within one tick together.
         let tick = self.tick.micros().max(1);
         let at = (self.clock.now() + after).micros() / tick * tick;
-        self.timers.set(Moment::from_micros(at.saturating_add(tick)), Due::Module(mark));
+        self.timers.schedule(Moment::from_micros(at.saturating_add(tick)), TimerKind::Policy(mark));
     }
 
     fn add_to_counter(&mut self, name: CounterKey, amount: f64, keep: Span) {
@@ -175,22 +175,22 @@
 
     fn peers_can_count(&mut self) -> bool {
         let now = self.clock.now();
-        self.peers.as_mut().is_some_and(|peers| peers.may_count(now))
+        self.peers.as_mut().is_some_and(|peers| peers.can_count(now))
     }
 
     fn add_to_peer_count(&mut self, name: CounterKey, amount: f64, wanted: ConditionalAdd) {
         let now = self.clock.now();
         if let Some(peers) = &mut self.peers {
-            peers.add(now, name, amount, wanted);
+            peers.add_to_count(now, name, amount, wanted);
         }
     }
 
     fn quota_sharers(&mut self, first: u32, set_size: f64) -> f64 {
         let now = self.clock.now();
-        self.peers.as_mut().map_or(set_size, |peers| peers.sharers(now, first, set_size))
+        self.peers.as_mut().map_or(set_size, |peers| peers.quota_sharers(now, first, set_size))
     }
 
     fn subscribe_to_roster(&mut self) {
-        self.watch_soon();
+        self.schedule_poll();
     }
 }
--- a/crates/gateway/src/wire/client.rs
+++ b/crates/gateway/src/wire/client.rs
@@ -1,93 +1,107 @@
-//! Connections of clients.
+//! Client connections: their requests, responses and time limits.
 
 use super::http;
-use super::request::{self, Request, Taken};
-use crate::memory::channel::{Channel, Filled};
-use crate::memory::timers::Due;
+use super::request::{self, ParsedRequest, Request};
+use crate::memory::channel::{Channel, ReadOutcome};
+use crate::memory::timers::TimerKind;
 use crate::sockets::{settle, Limiter, Moved, Sockets};
 use fennelgauge::host::{Arrival, JobId};
 use fennelgauge::time::{Moment, Span};
 use std::net::TcpStream;
 use tracing::info;
 
-/// Requests of one connection that are taken in one turn: a client that writes them without pause must not keep
-/// the loop from all others.
-const AT_ONCE: usize = 16;
-/// How long a request may take to come in, from the connection's start or once begun; far above any sound
-/// client's. One that says nothing is owed a close within 3 s of its connecting; the sweep takes its part of that.
-const SLOW: Span = Span::from_millis(2_000);
-/// How long an answer may take to be taken.
-const SLOW_READER: Span = Span::from_millis(10_000);
-/// How long an ended connection may take to be closed by the other side.
-const LINGER: Span = Span::from_millis(1_000);
-/// What is sent on an ended connection is read over up to so much, so that its answer is not lost by a reset; and
-/// on one with more requests waiting than are taken in, so that its client's leaving behind them is seen. A client
-/// that sends without end must not cost the others more than that in one turn, and the next comes some time later.
-const READ_OVER: usize = 8 * http::MOST_MESSAGE;
-const READ_ON: Span = Span::from_millis(10);
-/// A client's leaving may stand unread while a job of its is held or tried again: no attempt may begin a tenth of a
-/// second after it. So before each the connection is read, where it was not just read.
-const JUST_READ: Span = Span::from_millis(10);
-/// A served connection that stands unused is closed: some clients never come back, and a machine that vanished
-/// says nothing. A client that does come back by then saves a connection.
-const UNUSED: Span = Span::from_millis(10_000);
-/// A client that connects writes at once. Where room is short, one that has written no whole request for so
-/// long, or has not taken its end, makes room first.
-const QUIET: Span = Span::from_millis(250);
+/// Most requests of one connection that are processed in one iteration of the event loop, so that a client that
+/// pipelines without pause does not block the others.
+const MAX_REQUESTS_PER_TURN: usize = 16;
+/// How long a request may take to arrive, from the start of the connection or from its first byte; far more than a
+/// normal client needs. A connection without a request must be closed within 3 s, of which the sweep interval takes a
+/// part.
+const REQUEST_TIMEOUT: Span = Span::from_millis(2_000);
+/// How long a client may take to read its response.
+const RESPONSE_TIMEOUT: Span = Span::from_millis(10_000);
+/// How long the client may take to close a connection after this side has closed the sending direction.
+const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
+/// Most bytes that are read and discarded at once: on a connection that is being closed, so that a reset does not lose
+/// the response; and on one with more input than is buffered, so that a disconnect behind it is noticed. The limit
+/// keeps a client that sends without end from delaying the others.
+const MAX_DISCARD_BYTES: usize = 8 * http::MAX_REQUEST;
+/// Pause between two such reads of a connection.
+const DISCARD_INTERVAL: Span = Span::from_millis(10);
+/// Before each relay the client's connection is read unless that was done within this time, because no relay may start
+/// later than 0.1 s after the client has disconnected, even if the job was queued or is retried.
+const MAX_READ_AGE: Span = Span::from_millis(10);
+/// How long a connection is kept open for another request. Some clients never send another one, and a machine that
+/// vanished does not close its connections.
+const KEEP_ALIVE_TIMEOUT: Span = Span::from_millis(10_000);
+/// If descriptors are short, a connection that has not sent a complete request for this long, or that the client has
+/// not closed, is displaced first. Normal clients send their request right after connecting.
+const DISPLACE_AFTER: Span = Span::from_millis(250);
 
-/// Connections beyond the room for jobs, each open only until its job is dismissed.
+/// Number of additional connections beyond those for jobs, each open only until its job is rejected.
 pub const RESERVE: usize = 8;
 
+/// A client connection.
 pub struct Client {
+    /// The TCP connection.
     pub channel: Channel,
+    /// Its open job.
     pub job: Option<JobId>,
-    /// The connection goes on after the present answer.
+    /// Whether the connection stays open after the present response.
     pub keep: bool,
     stage: Stage,
+    /// When the stage began, or the client last showed activity.
     since: Moment,
-    /// When the stage has lasted too long.
-    until: Moment,
-    /// Why this side ends the connection.
+    /// When the stage times out.
+    deadline: Moment,
+    /// Why this side closes the connection, for the log.
     reason: &'static str,
-    /// It was told to go on with the body of the present request.
-    continued: bool,
-    /// It had an answer.
+    /// `100 Continue` was sent for the present request.
+    sent_continue: bool,
+    /// It has received a response.
     served: bool,
-    /// More was sent than is taken in at once, and read over: what cannot be read whole gets no answer but its end.
+    /// Input was discarded because it exceeded the buffer, so later requests can't be parsed and the connection ends.
     overrun: bool,
-    /// When it was last read, and until when what it sends beyond that is left where it is.
-    read: Moment,
-    rests: Moment,
-    room: Room,
+    /// When it was last read.
+    last_read: Moment,
+    /// Until then excess input is not read.
+    read_paused_until: Moment,
+    admission: Admission,
 }
 
-/// What a connection was taken in for.
+/// For what a connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum Admission {
+    /// Its jobs are processed.
     ForJobs,
-    /// The descriptors allowed are used up by others' jobs.
-    ToDismiss,
+    /// Its jobs are rejected, since all descriptors are used by other clients' jobs.
+    ToReject,
 }
 
+/// Stage of a client connection; the names are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
+    /// Waits for a request.
     Idle,
+    /// A request has arrived in part.
     Receiving,
+    /// A job is being processed.
     Working,
+    /// A response is being written.
     Answering,
-    /// All is written and the sending ended.
+    /// All is written and the sending direction is closed.
     Ended,
 }
 
+/// Handles readiness of a client connection.
 pub fn moved(limiter: &mut Limiter, key: u64) {
     limiter.host.receive(key);
     serve(limiter, key);
     settle(limiter);
 }
 
-/// Hands the requests that have come on a connection to the module, one after the other.
+/// Processes the requests that have arrived on a connection, one after the other.
 pub fn serve(limiter: &mut Limiter, key: u64) {
-    for _ in 0..AT_ONCE {
+    for _ in 0..MAX_REQUESTS_PER_TURN {
         let now = limiter.host.clock.now();
         match limiter.host.next_request(key, now) {
             Next::Nothing => return,
@@ -96,47 +110,52 @@
         }
     }
     let now = limiter.host.clock.now();
-    limiter.host.timers.set(now, Due::Serve(key));
+    limiter.host.timers.schedule(now, TimerKind::ServeClient(key));
 }
 
+/// Result of looking for the next request.
 enum Next {
+    /// No complete request, or the connection is busy.
     Nothing,
-    /// It was no job, and has its answer.
+    /// The request was answered by the gateway itself.
     Answered,
+    /// A job for the policy module.
     Job(Arrival),
 }
 
 impl Sockets {
-    /// A descriptor is left for a further client, be it only to dismiss its job, or another makes room. Servers keep
-    /// theirs: one connection at the least, however many clients come and say nothing.
+    /// Returns whether another client can be accepted, at least to reject its job, or one can be displaced. At least
+    /// one descriptor stays reserved for server connections.
     pub fn may_accept(&self) -> bool {
         let (clients, links) = (self.clients.len(), self.links.len().max(1));
         let room = clients < self.most_clients + RESERVE && clients + links < self.most + RESERVE;
-        room || self.displaceable(self.clock.now()).is_some()
+        room || self.client_to_displace(self.clock.now()).is_some()
     }
 
-    /// The client that makes room first: one that has not sent a whole request for a while, or stands ended, or else
-    /// the one unused the longest.
-    fn displaceable(&self, now: Moment) -> Option<u64> {
+    /// Returns the client to displace: one without a complete request for [`DISPLACE_AFTER`] or one that is being
+    /// closed, else the one that has been idle for longest.
+    fn client_to_displace(&self, now: Moment) -> Option<u64> {
         let rank = |client: &Client| match client.stage {
-            // Its next request has come, and is served.
+            // Its next request has arrived and is processed.
             Stage::Idle if !client.channel.input.is_empty() => None,
             Stage::Idle if client.served => Some(1),
-            Stage::Idle | Stage::Receiving | Stage::Ended => (now.since(client.since) > QUIET).then_some(0),
+            Stage::Idle | Stage::Receiving | Stage::Ended => {
+                (now.since(client.since) > DISPLACE_AFTER).then_some(0)
+            }
             Stage::Working | Stage::Answering => None,
         };
         let ranked = self.clients.iter().filter_map(|(key, it)| Some(((rank(it)?, it.since), *key)));
         ranked.min().map(|(_, key)| key)
     }
 
-    /// Closes a client that makes room, between requests; false where none does.
+    /// Closes a client to free its descriptor. Returns false if none can be displaced.
     pub fn displace_client(&mut self, now: Moment) -> bool {
-        while let Some(key) = self.displaceable(now) {
+        while let Some(key) = self.client_to_displace(now) {
             let received = |host: &Self| host.clients.get(&key).map(|it| it.channel.input.len());
             let before = received(self);
             self.receive(key);
             match self.clients.get_mut(&key) {
-                // It speaks after all, and is served.
+                // It has sent data after all and is served.
                 Some(client) if Some(client.channel.input.len()) > before => client.since = now,
                 _ => {
                     self.close_client(key, "crowded");
@@ -148,17 +167,18 @@
         false
     }
 
-    /// What a new client is taken in for, once room was made where it is short.
-    fn room_for_client(&mut self, now: Moment) -> Room {
+    /// Frees a descriptor for a new client if necessary, and returns for what the client is accepted.
+    fn make_room_for_client(&mut self, now: Moment) -> Admission {
         if self.clients.len() < self.most_clients && self.make_room() || self.displace_client(now) {
-            return Room::ForJobs;
+            return Admission::ForJobs;
         }
-        Room::ToDismiss
+        Admission::ToReject
     }
 
+    /// Registers a new client connection.
     pub fn accept(&mut self, stream: TcpStream) {
         let now = self.clock.now();
-        let room = self.room_for_client(now);
+        let admission = self.make_room_for_client(now);
         let key = self.number();
         let opened = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
         let channel = opened.and_then(|()| Channel::new(&self.handle, stream, Moved::Client(key)));
@@ -170,14 +190,14 @@
                     keep: true,
                     stage: Stage::Idle,
                     since: now,
-                    until: now + SLOW,
+                    deadline: now + REQUEST_TIMEOUT,
                     reason: "answered",
-                    continued: false,
+                    sent_continue: false,
                     served: false,
                     overrun: false,
-                    read: now,
-                    rests: now,
-                    room,
+                    last_read: now,
+                    read_paused_until: now,
+                    admission,
                 };
                 self.clients.insert(key, client);
             }
@@ -185,187 +205,191 @@
         }
     }
 
-    /// Closes the connection of a job's client that has left, though nothing told of it yet.
-    pub fn look_at_client_of(&mut self, job: JobId) {
+    /// Reads the connection of a job's client, and closes it if the client has disconnected.
+    pub fn check_client_of(&mut self, job: JobId) {
         let Some(key) = self.jobs.open.get(&job).map(|job| job.client) else { return };
         let now = self.clock.now();
-        if self.clients.get(&key).is_some_and(|client| now.since(client.read) > JUST_READ) {
+        if self.clients.get(&key).is_some_and(|client| now.since(client.last_read) > MAX_READ_AGE) {
             self.receive(key);
         }
     }
 
-    /// Reads what has come, and writes what could not be written before.
+    /// Continues a partly written response and reads available input.
     fn receive(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&key) else { return };
         if client.stage == Stage::Answering {
-            self.push(key);
+            self.flush_response(key);
         }
         let Some(client) = self.clients.get_mut(&key) else { return };
-        if client.channel.stuffed && now < client.rests {
+        if client.channel.may_have_more && now < client.read_paused_until {
             return;
         }
-        client.read = now;
+        client.last_read = now;
         let ended = client.stage == Stage::Ended;
-        let mut filled = client.channel.fill(http::MOST_MESSAGE);
+        let mut read = client.channel.fill(http::MAX_REQUEST);
         if ended {
-            client.channel.used(usize::MAX);
+            client.channel.consume(usize::MAX);
         }
-        if client.channel.stuffed {
+        if client.channel.may_have_more {
             client.overrun = true;
-            filled = client.channel.skip(READ_OVER);
+            read = client.channel.skip(MAX_DISCARD_BYTES);
         }
-        match filled {
-            Filled::Open if ended && client.channel.stuffed => self.close_client(key, "sends on"),
-            Filled::Open if client.channel.stuffed => {
-                client.rests = now + READ_ON;
-                self.timers.set(now + READ_ON, Due::Serve(key));
+        match read {
+            ReadOutcome::Open if ended && client.channel.may_have_more => self.close_client(key, "sends on"),
+            ReadOutcome::Open if client.channel.may_have_more => {
+                client.read_paused_until = now + DISCARD_INTERVAL;
+                self.timers.schedule(now + DISCARD_INTERVAL, TimerKind::ServeClient(key));
             }
-            Filled::Open => {}
-            Filled::Ended if ended => {
+            ReadOutcome::Open => {}
+            ReadOutcome::Eof if ended => {
                 let reason = client.reason;
                 self.close_client(key, reason);
             }
-            Filled::Ended => self.close_client(key, "closed by client"),
-            Filled::Broken => self.close_client(key, "broken"),
+            ReadOutcome::Eof => self.close_client(key, "closed by client"),
+            ReadOutcome::Failed => self.close_client(key, "broken"),
         }
     }
 
-    /// The next request on a connection, where one has come and the one before is answered.
+    /// Parses the next request of a connection, if it is complete and the previous one is answered.
     fn next_request(&mut self, key: u64, now: Moment) -> Next {
-        let (ready, stopping, late) = (self.is_ready(), self.stop.begun(), self.stop.is_late(now));
-        let waits = |client: &Client| matches!(client.stage, Stage::Idle | Stage::Receiving);
+        let (ready, stopping, late) = (self.is_ready(), self.stop.has_begun(), self.stop.is_late(now));
+        let awaits_request = |client: &Client| matches!(client.stage, Stage::Idle | Stage::Receiving);
         let client = self.clients.get_mut(&key);
         let has_more = |it: &Client| it.overrun || !it.channel.input.is_empty();
-        let Some(client) = client.filter(|it| waits(it) && has_more(it)) else { return Next::Nothing };
-        // It sends faster than it is read over, and would never be quiet enough to be heard.
-        if client.channel.stuffed {
-            self.refuse(key, 413);
+        let Some(client) = client.filter(|it| awaits_request(it) && has_more(it)) else {
+            return Next::Nothing;
+        };
+        // The client sends faster than its excess input is discarded.
+        if client.channel.may_have_more {
+            self.reject(key, 413);
             return Next::Nothing;
         }
-        let open = |id: &str| self.jobs.ids.contains(id);
-        match request::take(&client.channel.input, now, &self.names) {
-            // Passed on, a job under the id of another would be taken for a copy of it.
-            Ok(Some(Taken { request: Request::Job(job), .. })) if open(&job.onward.id) => {
-                self.refuse(key, 409)
+        let is_open = |id: &str| self.jobs.ids.contains(id);
+        match request::parse(&client.channel.input, now, &self.names) {
+            // A server would treat a job with the id of another open job as its duplicate.
+            Ok(Some(ParsedRequest { request: Request::Job(job), .. })) if is_open(&job.onward.id) => {
+                self.reject(key, 409)
             }
-            Ok(Some(taken)) => {
-                client.channel.used(taken.used);
-                (client.keep, client.continued) = (taken.keep, false);
-                match taken.request {
+            Ok(Some(parsed)) => {
+                client.channel.consume(parsed.consumed);
+                (client.keep, client.sent_continue) = (parsed.keep_alive, false);
+                match parsed.request {
                     Request::Ready => {
                         client.keep &= !stopping;
                         let status = if ready { 200 } else { 503 };
-                        request::own(&mut client.channel.output, status, None, client.keep);
-                        self.push(key);
+                        request::write_response(&mut client.channel.output, status, None, client.keep);
+                        self.flush_response(key);
                         return Next::Answered;
                     }
                     Request::Job(job) => {
                         client.stage = Stage::Working;
-                        // A client that speaks has the place of one that does not.
-                        let crowded = client.room == Room::ToDismiss && !self.displace_client(now);
+                        // A client with a job may displace an idle one.
+                        let crowded = client.admission == Admission::ToReject && !self.displace_client(now);
                         let Some(client) = self.clients.get_mut(&key) else { return Next::Nothing };
                         if crowded || late {
                             let (status, reason) = if late { (503, "stopping") } else { (429, "crowded") };
                             (client.keep, client.reason) = (false, reason);
-                            request::own(&mut client.channel.output, status, None, false);
-                            self.push(key);
+                            request::write_response(&mut client.channel.output, status, None, false);
+                            self.flush_response(key);
                             return Next::Answered;
                         }
-                        let id = self.jobs.take(key, job.onward);
-                        (client.room, client.job) = (Room::ForJobs, Some(id));
+                        let id = self.jobs.accept(key, job.onward);
+                        (client.admission, client.job) = (Admission::ForJobs, Some(id));
                         return Next::Job(Arrival { job: id, ..job.arrival });
                     }
                 }
             }
-            Ok(None) if client.overrun => self.refuse(key, 413),
+            Ok(None) if client.overrun => self.reject(key, 413),
             Ok(None) => {
                 if client.stage == Stage::Idle {
-                    // A first request has its time from the connection's start.
-                    let until = if client.served { now + SLOW } else { client.until };
-                    (client.stage, client.since, client.until) = (Stage::Receiving, now, until);
+                    // The time limit of the first request runs from the start of the connection.
+                    let deadline = if client.served { now + REQUEST_TIMEOUT } else { client.deadline };
+                    (client.stage, client.since, client.deadline) = (Stage::Receiving, now, deadline);
                 }
-                if !client.continued && request::waits_for_word(&client.channel.input) {
-                    client.continued = true;
+                if !client.sent_continue && request::expects_continue(&client.channel.input) {
+                    client.sent_continue = true;
                     client.channel.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-                    self.push_part(key);
+                    self.flush_interim(key);
                 }
             }
-            Err(wrong) => self.refuse(key, wrong.0),
+            Err(error) => self.reject(key, error.0),
         }
         Next::Nothing
     }
 
-    fn refuse(&mut self, key: u64, status: u16) {
+    /// Responds with an error status and closes the connection.
+    fn reject(&mut self, key: u64, status: u16) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         (client.keep, client.reason) = (false, request::reason(status));
-        request::own(&mut client.channel.output, status, None, false);
-        self.push(key);
+        request::write_response(&mut client.channel.output, status, None, false);
+        self.flush_response(key);
     }
 
-    /// Gives a job its final answer.
+    /// Ends a job with the response that `write` produces.
     pub fn finish(&mut self, id: JobId, write: impl FnOnce(&mut Vec<u8>, bool)) {
-        let Some(job) = self.jobs.end(id) else { return };
+        let Some(job) = self.jobs.remove(id) else { return };
         let Some(client) = self.clients.get_mut(&job.client) else { return };
         client.job = None;
-        client.keep &= !self.stop.begun();
+        client.keep &= !self.stop.has_begun();
         write(&mut client.channel.output, client.keep);
-        self.push(job.client);
+        self.flush_response(job.client);
     }
 
-    /// Writes what belongs to no answer; what is left of it goes with the next.
-    fn push_part(&mut self, key: u64) {
+    /// Writes an interim response; what can't be written yet goes out with the next response.
+    fn flush_interim(&mut self, key: u64) {
         if self.clients.get_mut(&key).is_some_and(|client| client.channel.flush().is_err()) {
             self.close_client(key, "broken");
         }
     }
 
-    /// Writes what there is to write, and goes on once nothing is left.
-    fn push(&mut self, key: u64) {
+    /// Writes the pending output; once all is written, waits for the next request or closes the sending direction.
+    fn flush_response(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.channel.flush() {
-            Ok(true) if client.keep && !self.stop.closed() => {
+            Ok(true) if client.keep && !self.stop.is_closed() => {
                 client.served = true;
-                (client.stage, client.since, client.until) = (Stage::Idle, now, now + UNUSED);
+                (client.stage, client.since, client.deadline) = (Stage::Idle, now, now + KEEP_ALIVE_TIMEOUT);
                 if client.overrun || !client.channel.input.is_empty() {
                     self.resumed.push_back(key);
                 }
             }
             Ok(true) => {
-                // A close with bytes unread would reset the connection and lose the answer.
-                client.channel.end();
-                (client.stage, client.since, client.until) = (Stage::Ended, now, now + LINGER);
-                if client.channel.stuffed {
+                // Closing a socket with unread input would reset the connection and lose the response.
+                client.channel.shutdown_write();
+                (client.stage, client.since, client.deadline) = (Stage::Ended, now, now + LINGER_TIMEOUT);
+                if client.channel.may_have_more {
                     self.receive(key);
                 }
             }
             Ok(false) if client.stage != Stage::Answering => {
-                (client.stage, client.until) = (Stage::Answering, now + SLOW_READER);
+                (client.stage, client.deadline) = (Stage::Answering, now + RESPONSE_TIMEOUT);
             }
             Ok(false) => {}
             Err(_) => self.close_client(key, "broken"),
         }
     }
 
+    /// Closes a client connection and cancels its job.
     pub fn close_client(&mut self, key: u64, reason: &str) {
         let Some(client) = self.clients.remove(&key) else { return };
         if let Some(id) = client.job {
-            let out = self.jobs.end(id).and_then(|job| job.out);
+            let out = self.jobs.remove(id).and_then(|job| job.out);
             self.left.push_back(id);
-            out.into_iter().for_each(|out| self.take_back(out));
+            out.into_iter().for_each(|out| self.cancel_unsent(out));
         }
         info!(side = "client", key, reason, stage = ?client.stage);
         client.channel.close(&self.handle);
     }
 
-    /// Closes what stands still: clients that send or take too slowly, or whose machine vanished.
+    /// Ends connections that exceeded the time limit of their stage.
     pub fn sweep_clients(&mut self, now: Moment) {
-        let late = |client: &Client| client.stage != Stage::Working && now >= client.until;
-        let late: Vec<u64> = self.clients.iter().filter(|(_, it)| late(it)).map(|(key, _)| *key).collect();
+        let is_late = |client: &Client| client.stage != Stage::Working && now >= client.deadline;
+        let late: Vec<u64> = self.clients.iter().filter(|(_, it)| is_late(it)).map(|(key, _)| *key).collect();
         for key in late {
             match self.clients.get(&key).map(|client| client.stage) {
-                Some(Stage::Receiving) => self.refuse(key, 408),
+                Some(Stage::Receiving) => self.reject(key, 408),
                 Some(Stage::Answering) => self.close_client(key, "slow reader"),
                 Some(Stage::Ended) => self.close_client(key, "not closed by client"),
                 _ => self.end_client(key, "unused"),
@@ -373,15 +397,16 @@
         }
     }
 
-    /// Ends the connections that no job is on; a request that crosses this is sent again by its client.
+    /// Ends all idle connections. A client whose request was under way at that moment sends it again.
     pub fn end_idle_clients(&mut self) {
-        let idle = |client: &Client| client.stage == Stage::Idle;
-        let idle: Vec<u64> = self.clients.iter().filter(|(_, it)| idle(it)).map(|(key, _)| *key).collect();
+        let is_idle = |client: &Client| client.stage == Stage::Idle;
+        let idle: Vec<u64> = self.clients.iter().filter(|(_, it)| is_idle(it)).map(|(key, _)| *key).collect();
         idle.into_iter().for_each(|key| self.end_client(key, "stopping"));
     }
 
-    /// Ends the sending on a connection between requests. One that has come meanwhile is served first: its client
-    /// need not send it again. What crosses the end is read over, as a close over it would be a reset.
+    /// Closes the sending direction of an idle connection. A request that has already arrived is served first, so that
+    /// its client need not send it again. Later input is discarded, since closing the socket at once would reset the
+    /// connection.
     fn end_client(&mut self, key: u64, reason: &'static str) {
         self.receive(key);
         let Some(client) = self.clients.get_mut(&key).filter(|client| client.stage == Stage::Idle) else {
@@ -391,6 +416,6 @@
             return self.resumed.push_back(key);
         }
         (client.keep, client.reason) = (false, reason);
-        self.push(key);
+        self.flush_response(key);
     }
 }
--- a/crates/gateway/src/wire/counter.rs
+++ b/crates/gateway/src/wire/counter.rs
@@ -1,8 +1,8 @@
-//! The connection to the counter, and its lines.
+//! Connections to the shared counter service, and its line protocol.
 
 use super::http;
-use crate::memory::channel::{Channel, Filled};
-use crate::memory::timers::Due;
+use crate::memory::channel::{Channel, ReadOutcome};
+use crate::memory::timers::TimerKind;
 use crate::sockets::{settle, Limiter, Moved, Sockets};
 use fennelgauge::host::{CounterKey, Outcome};
 use fennelgauge::time::{Moment, Span};
@@ -10,74 +10,84 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Answers are short; this many bytes of them are read at once.
-const MOST: usize = 64 * 1024;
-/// A machine that vanished keeps its connections open and silent: one that owes an answer for so long is left.
-/// A crowded counter answers later than that only calls that were given up long before.
-const SILENT: Span = Span::from_millis(2_000);
-/// A connection that owes an answer and was not heard of for so many times of what a call is waited for takes no
-/// further calls: it may be silent for good while the counter is well. Answers still come on it.
-const UNHEARD: f64 = 2.0;
-/// So many connections at once; where all of these say nothing, a further one would not help.
-const MOST_LINES: usize = 4;
+/// Most bytes of replies that are read at once; each reply is short.
+const MAX_READ_BYTES: usize = 64 * 1024;
+/// A connection whose oldest call has waited this long for a reply is closed, since the other machine may have vanished
+/// without closing it. An overloaded counter that replies later than this replies only to calls that timed out long
+/// before.
+const MAX_SILENCE: Span = Span::from_millis(2_000);
+/// A connection that has owed a reply without any sign of life for this multiple of the call timeout gets no further
+/// calls: the connection may be dead although the counter is available. Replies are still read from it.
+const RETIRE_AFTER_TIMEOUTS: f64 = 2.0;
+/// Most connections at a time; if none of these responds, another one would not help.
+const MAX_CONNECTIONS: usize = 4;
 
+/// Client of the shared counter service.
 pub struct Counter {
+    /// Address of the service; `None` if there is none.
     address: Option<SocketAddr>,
-    /// A call is given up after this.
-    within: Span,
-    /// The connection that calls are written to is the last; those before it stay until their calls are answered.
-    lines: Vec<Line>,
+    /// Time after which a call is abandoned.
+    timeout: Span,
+    /// New calls go to the last connection; the others stay until their calls have replies or timed out.
+    connections: Vec<CounterConnection>,
 }
 
-/// One connection.
-struct Line {
+/// A connection to the counter service.
+struct CounterConnection {
     channel: Channel,
     key: u64,
+    /// The connection is established.
     up: bool,
-    /// Takes no further calls: the counter has another address since, or nothing was heard on it.
-    former: bool,
-    heard: Moment,
-    /// Calls in the order of their answers.
+    /// Gets no further calls: the address has changed, or the connection does not respond.
+    retired: bool,
+    /// When the last reply arrived.
+    last_heard: Moment,
+    /// Calls without a reply, in the order of the replies to come.
     calls: VecDeque<Call>,
-    /// Bytes handed to this connection.
-    handed: u64,
+    /// Total number of bytes queued on this connection.
+    queued_bytes: u64,
 }
 
+/// A call without a reply.
 struct Call {
-    name: CounterKey,
+    key: CounterKey,
     number: u64,
-    /// The bytes handed to the connection up to its last.
+    /// Value of `queued_bytes` after this call, which tells whether all of it was written.
     end: u64,
     sent: Moment,
-    /// It was given up; its answer is still to come.
-    over: bool,
+    /// It was abandoned; its reply may still arrive.
+    timed_out: bool,
 }
 
 impl Counter {
-    pub fn new(address: Option<SocketAddr>, within: Span) -> Self {
-        Self { address, within, lines: Vec::new() }
+    /// Creates a client that connects on the first call.
+    pub fn new(address: Option<SocketAddr>, timeout: Span) -> Self {
+        Self { address, timeout, connections: Vec::new() }
     }
 
-    /// That call is out and was not given up. Numbers rise from call to call.
-    pub fn awaits(&self, number: u64) -> bool {
-        self.lines.iter().any(|line| {
-            let found = line.calls.binary_search_by_key(&number, |call| call.number);
-            found.is_ok_and(|index| !line.calls[index].over)
+    /// Returns whether a call waits for its reply and has not timed out. Call numbers ascend, so binary search is
+    /// possible.
+    pub fn is_pending(&self, number: u64) -> bool {
+        self.connections.iter().any(|connection| {
+            let found = connection.calls.binary_search_by_key(&number, |call| call.number);
+            found.is_ok_and(|index| !connection.calls[index].timed_out)
         })
     }
 
-    fn present(&mut self) -> Option<&mut Line> {
-        self.lines.last_mut().filter(|line| !line.former)
+    /// Returns the connection for new calls.
+    fn active(&mut self) -> Option<&mut CounterConnection> {
+        self.connections.last_mut().filter(|connection| !connection.retired)
     }
 }
 
-fn bump(out: &mut Vec<u8>, name: CounterKey, amount: f64, keep: Span) {
-    // Seven digits of a total are exact; finer parts of an amount would be lost in it.
-    http::put(out, format_args!("bump {name:016x} {amount:.4} {}\r\n", (keep.micros() / 1_000).max(1)));
+/// Writes a call that adds `amount` to a key and keeps it for `keep`.
+fn write_bump(out: &mut Vec<u8>, key: CounterKey, amount: f64, keep: Span) {
+    // Totals are exact to seven digits, so more decimals of an amount would be lost.
+    http::write(out, format_args!("bump {key:016x} {amount:.4} {}\r\n", (keep.micros() / 1_000).max(1)));
 }
 
-/// What a line says of the call that it answers; none if it is no answer.
-fn answer(line: &[u8]) -> Option<(Option<f64>, Outcome)> {
+/// Parses a reply into total and outcome; `None` if it is not a valid reply.
+fn parse_reply(line: &[u8]) -> Option<(Option<f64>, Outcome)> {
     let line = http::text(line)?;
     match line.split_once(' ') {
         Some(("ok", total)) => {
@@ -90,12 +100,12 @@
     }
 }
 
-/// The first bytes of a line may still become an answer. What cannot would else keep all calls behind it
-/// waiting for an end that never comes.
-fn may_become_one(part: &[u8]) -> bool {
-    /// Above the longest total that is written out in full.
-    const MOST_LINE: usize = 400;
-    if part.len() > MOST_LINE {
+/// Returns whether an incomplete line may still become a valid reply. Otherwise, garbage without a line end would block
+/// all calls behind it.
+fn may_become_reply(part: &[u8]) -> bool {
+    /// Longer than any total written without an exponent.
+    const MAX_REPLY_BYTES: usize = 400;
+    if part.len() > MAX_REPLY_BYTES {
         return false;
     }
     let (known, rest) = part.split_at(part.len().min(3));
@@ -105,63 +115,83 @@
     }
 }
 
+/// Handles readiness of a counter connection.
 pub fn moved(limiter: &mut Limiter, key: u64) {
     limiter.host.counter_moved(key);
     settle(limiter);
 }
 
 impl Sockets {
-    pub fn call(&mut self, name: CounterKey, amount: f64, keep: Span) {
+    /// Adds an amount to a counter; the total is passed to the policy module later.
+    pub fn call(&mut self, key: CounterKey, amount: f64, keep: Span) {
         let now = self.clock.now();
-        if self.counter.present().is_none() {
+        if self.counter.active().is_none() {
             self.open_counter();
         }
         let number = self.number();
-        let Some(line) = self.counter.present() else {
-            return self.count(name, None, Outcome::ConnectFailed);
+        let Some(connection) = self.counter.active() else {
+            return self.count(key, None, Outcome::ConnectFailed);
         };
-        let before = line.channel.output.len();
-        bump(&mut line.channel.output, name, amount, keep);
-        line.handed += (line.channel.output.len() - before) as u64;
-        line.calls.push_back(Call { name, number, end: line.handed, sent: now, over: false });
-        self.timers.set(now + self.counter.within, Due::Counted(number));
+        let before = connection.channel.output.len();
+        write_bump(&mut connection.channel.output, key, amount, keep);
+        connection.queued_bytes += (connection.channel.output.len() - before) as u64;
+        connection.calls.push_back(Call {
+            key,
+            number,
+            end: connection.queued_bytes,
+            sent: now,
+            timed_out: false,
+        });
+        self.timers.schedule(now + self.counter.timeout, TimerKind::CounterTimeout(number));
     }
 
     fn open_counter(&mut self) {
         let Some(address) = self.counter.address else { return };
-        let (key, heard) = (self.number(), self.clock.now());
+        let (key, last_heard) = (self.number(), self.clock.now());
         match Channel::connect(&self.handle, address, Moved::Counter(key)) {
             Ok(channel) => {
                 let calls = VecDeque::new();
-                let line = Line { channel, key, up: false, former: false, heard, calls, handed: 0 };
-                self.counter.lines.push(line);
+                let connection = CounterConnection {
+                    channel,
+                    key,
+                    up: false,
+                    retired: false,
+                    last_heard,
+                    calls,
+                    queued_bytes: 0,
+                };
+                self.counter.connections.push(connection);
             }
             Err(error) => info!(side = "counter", key, reason = "refused", %error),
         }
     }
 
-    /// Further calls go to that address; those that are out may still be answered where they are.
+    /// Sends further calls to another address; replies to earlier calls are still accepted.
     pub fn move_counter(&mut self, address: Option<SocketAddr>) {
         if address != self.counter.address {
             self.counter.address = address;
-            self.counter.lines.iter_mut().for_each(|line| line.former = true);
-            self.leave_former_counters();
+            self.counter.connections.iter_mut().for_each(|connection| connection.retired = true);
+            self.close_retired_counters();
         }
     }
 
-    fn leave_former_counters(&mut self) {
-        let left = |line: &&Line| line.former && line.calls.iter().all(|call| call.over);
-        let left: Vec<u64> = self.counter.lines.iter().filter(left).map(|line| line.key).collect();
-        left.into_iter().for_each(|key| self.close_counter(key, "moved"));
+    /// Closes retired connections whose calls have all ended.
+    fn close_retired_counters(&mut self) {
+        let is_unused = |connection: &&CounterConnection| {
+            connection.retired && connection.calls.iter().all(|call| call.timed_out)
+        };
+        let unused: Vec<u64> =
+            self.counter.connections.iter().filter(is_unused).map(|connection| connection.key).collect();
+        unused.into_iter().for_each(|key| self.close_counter(key, "moved"));
     }
 
-    /// Calls made at one time are written together. True if something has ended by it.
+    /// Writes queued calls together. Returns whether the policy module must be told of ended calls.
     pub fn flush_calls(&mut self) -> bool {
-        let Some(line) = self.counter.present().filter(|it| it.up && it.channel.unwritten() > 0) else {
+        let Some(connection) = self.counter.active().filter(|it| it.up && it.channel.unwritten() > 0) else {
             return false;
         };
-        if line.channel.flush().is_err() {
-            let key = line.key;
+        if connection.channel.flush().is_err() {
+            let key = connection.key;
             self.close_counter(key, "broken");
         }
         !self.counted.is_empty()
@@ -171,86 +201,99 @@
         if let Err(reason) = self.read_counter(key) {
             self.close_counter(key, reason);
         }
-        self.leave_former_counters();
+        self.close_retired_counters();
     }
 
-    /// Takes in what has come; or tells why the connection is of no further use.
+    /// Reads replies. Errs with the reason if the connection must be closed.
     fn read_counter(&mut self, key: u64) -> Result<(), &'static str> {
         let now = self.clock.now();
-        let Some(line) = self.counter.lines.iter_mut().find(|line| line.key == key) else { return Ok(()) };
-        if !line.up {
-            line.up = line.channel.is_up().map_err(|_| "refused")?;
-            if !line.up {
+        let Some(connection) = self.counter.connections.iter_mut().find(|connection| connection.key == key)
+        else {
+            return Ok(());
+        };
+        if !connection.up {
+            connection.up = connection.channel.is_up().map_err(|_| "refused")?;
+            if !connection.up {
                 return Ok(());
             }
         }
-        let broken = line.channel.flush().is_err();
+        let broken = connection.channel.flush().is_err();
         loop {
-            let filled = line.channel.fill(MOST);
-            let mut used = 0;
-            while let Some(length) = line.channel.input[used..].iter().position(|byte| *byte == b'\n') {
-                let told = answer(&line.channel.input[used..used + length]);
-                used += length + 1;
-                // An answer that fits no call would shift all that follow, and a spoilt one is the call's own:
-                // it was added, and the module must hear that no total comes.
-                let (Some((total, outcome)), Some(call)) = (told, line.calls.front()) else {
+            let read = connection.channel.fill(MAX_READ_BYTES);
+            let mut consumed = 0;
+            while let Some(length) =
+                connection.channel.input[consumed..].iter().position(|byte| *byte == b'\n')
+            {
+                let reply = parse_reply(&connection.channel.input[consumed..consumed + length]);
+                consumed += length + 1;
+                // A reply without a call would assign all later replies to the wrong calls. An invalid reply means that
+                // the amount may have been added but its total is lost. In both cases all calls of the connection end.
+                let (Some((total, outcome)), Some(call)) = (reply, connection.calls.front()) else {
                     return Err("garbled");
                 };
-                if !call.over {
-                    self.counted.push_back((call.name, total, outcome));
+                if !call.timed_out {
+                    self.counted.push_back((call.key, total, outcome));
                 }
-                line.calls.pop_front();
-                line.heard = now;
+                connection.calls.pop_front();
+                connection.last_heard = now;
             }
-            line.channel.used(used);
-            if !may_become_one(&line.channel.input) {
+            connection.channel.consume(consumed);
+            if !may_become_reply(&connection.channel.input) {
                 return Err("garbled");
-            } else if filled == Filled::Ended {
+            } else if read == ReadOutcome::Eof {
                 return Err("closed by counter");
-            } else if broken || filled == Filled::Broken {
+            } else if broken || read == ReadOutcome::Failed {
                 return Err("broken");
-            } else if !line.channel.stuffed {
+            } else if !connection.channel.may_have_more {
                 return Ok(());
             }
         }
     }
 
-    /// Ends all calls of the connection: those whose last byte was written may have been added.
+    /// Closes a connection and ends its calls. Those that were completely written may have been executed.
     fn close_counter(&mut self, key: u64, reason: &str) {
-        let Some(index) = self.counter.lines.iter().position(|line| line.key == key) else { return };
-        let line = self.counter.lines.remove(index);
-        info!(side = "counter", key, reason, calls = line.calls.len());
-        let written = line.handed - line.channel.unwritten() as u64;
-        line.channel.close(&self.handle);
-        for call in line.calls.into_iter().filter(|call| !call.over) {
+        let Some(index) = self.counter.connections.iter().position(|connection| connection.key == key) else {
+            return;
+        };
+        let connection = self.counter.connections.remove(index);
+        info!(side = "counter", key, reason, calls = connection.calls.len());
+        let written = connection.queued_bytes - connection.channel.unwritten() as u64;
+        connection.channel.close(&self.handle);
+        for call in connection.calls.into_iter().filter(|call| !call.timed_out) {
             let outcome = if call.end <= written { Outcome::TimedOut } else { Outcome::ConnectFailed };
-            self.counted.push_back((call.name, None, outcome));
+            self.counted.push_back((call.key, None, outcome));
         }
     }
 
-    /// A call was waited for long enough; its answer, when it comes, is read over.
-    pub fn call_over(&mut self, number: u64) {
-        let (now, few) = (self.clock.now(), self.counter.lines.len() < MOST_LINES);
-        let unheard = self.counter.within.times(UNHEARD);
-        let has = |line: &&mut Line| line.calls.iter().any(|call| call.number == number);
-        let Some(line) = self.counter.lines.iter_mut().find(has) else { return };
-        if !line.up {
-            let key = line.key;
+    /// Ends a call that timed out; its reply is ignored if it still arrives.
+    pub fn counter_call_timed_out(&mut self, number: u64) {
+        let (now, may_open) = (self.clock.now(), self.counter.connections.len() < MAX_CONNECTIONS);
+        let retire_after = self.counter.timeout.times(RETIRE_AFTER_TIMEOUTS);
+        let has =
+            |connection: &&mut CounterConnection| connection.calls.iter().any(|call| call.number == number);
+        let Some(connection) = self.counter.connections.iter_mut().find(has) else { return };
+        if !connection.up {
+            let key = connection.key;
             return self.close_counter(key, "never came up");
         }
-        if let Some(call) = line.calls.iter_mut().find(|call| call.number == number) {
-            call.over = true;
-            let name = call.name;
-            let owes_since = line.calls.front().map_or(now, |call| call.sent.max(line.heard));
-            line.former |= few && now.since(owes_since) >= unheard;
-            self.count(name, None, Outcome::TimedOut);
+        if let Some(call) = connection.calls.iter_mut().find(|call| call.number == number) {
+            call.timed_out = true;
+            let key = call.key;
+            let waiting_since =
+                connection.calls.front().map_or(now, |call| call.sent.max(connection.last_heard));
+            connection.retired |= may_open && now.since(waiting_since) >= retire_after;
+            self.count(key, None, Outcome::TimedOut);
         }
-        self.leave_former_counters();
+        self.close_retired_counters();
     }
 
+    /// Closes connections that have not replied for [`MAX_SILENCE`].
     pub fn sweep_counter(&mut self, now: Moment) {
-        let silent = |line: &&Line| line.calls.front().is_some_and(|call| now.since(call.sent) > SILENT);
-        let silent: Vec<u64> = self.counter.lines.iter().filter(silent).map(|line| line.key).collect();
+        let silent = |connection: &&CounterConnection| {
+            connection.calls.front().is_some_and(|call| now.since(call.sent) > MAX_SILENCE)
+        };
+        let silent: Vec<u64> =
+            self.counter.connections.iter().filter(silent).map(|connection| connection.key).collect();
         silent.into_iter().for_each(|key| self.close_counter(key, "silent"));
     }
 }
--- a/crates/gateway/src/wire/discovery.rs
+++ b/crates/gateway/src/wire/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery's lists, and the watch that asks for them.
+//! Long polling of the service discovery agent for the list of servers.
 
 use super::http;
-use crate::memory::channel::{Channel, Filled};
-use crate::memory::timers::Due;
+use crate::memory::channel::{Channel, ReadOutcome};
+use crate::memory::timers::TimerKind;
 use crate::sockets::{settle, Limiter, Moved, Sockets};
 use fennelgauge::host;
 use fennelgauge::time::{Moment, Span};
@@ -12,34 +12,40 @@
 use std::time::Duration;
 use tracing::info;
 
-/// A lost watch begins anew after this; well within the time in which changes count as told.
-const PAUSE: Span = Span::from_millis(100);
-/// How long discovery may hold a watch, and how late it may then be. A connection that fell silent looks like a
-/// list without changes: it is noticed well within the time in which changes count as told, a few seconds. The
-/// agent is on this machine, and asking it costs nothing.
-const HOLD: Duration = Duration::from_secs(1);
-const LATE: Span = Span::from_millis(500);
-/// A list of hundreds of servers, indented, may be larger than any request; one beyond this is no list.
-const MOST_LIST: usize = 1024 * 1024;
-/// The list known at the start may be old: it is used once discovery has told what changed since, or has said nothing
-/// for so long. Far more than an agent on this machine takes, and far below what a start may take.
-const FIRST: Span = Span::from_millis(500);
-/// A list older than the one known may come from an agent that lags, and would send jobs to servers that drain; or
-/// the versions began anew. It is asked for again, and believed if it still comes after this, well within the time in
-/// which changes count as told.
-const BELIEVED: Span = Span::from_millis(2_000);
+/// Time until a failed poll is repeated; far below the time within which the agent's changes must take effect.
+const RETRY_DELAY: Span = Span::from_millis(100);
+/// How long the agent may hold a poll open. It is short because a dead connection looks like a list without changes,
+/// and must be noticed within the few seconds in which changes must take effect. The agent runs on the same machine, so
+/// polls are cheap.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How late the reply to a poll may be beyond [`POLL_TIMEOUT`].
+const MAX_POLL_DELAY: Span = Span::from_millis(500);
+/// Largest reply, in bytes. An indented list of hundreds of servers exceeds the limit of requests.
+const MAX_LIST_BYTES: usize = 1024 * 1024;
+/// How long the first reply is waited for. The list in the configuration may be outdated, so it is used only once the
+/// agent has sent the changes since, or after this time: far more than a local agent needs, and far less than a start
+/// may take.
+const FIRST_REPLY_TIMEOUT: Span = Span::from_millis(500);
+/// A list with a lower version than the present one either comes from an agent that lags, and would direct jobs to
+/// draining servers, or the versions were restarted. It is polled again and accepted if it still comes after this time,
+/// which is below the time within which changes must take effect.
+const ACCEPT_OLDER_AFTER: Span = Span::from_millis(2_000);
 
+/// A list of servers, or of changes to it.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Listing {
+    /// Version of the list.
     pub seq: u64,
+    /// Whether it is the complete list; otherwise it holds only changes.
     pub whole: bool,
+    /// The servers.
     pub hosts: Vec<Line>,
 }
 
 impl Listing {
-    /// The whole list after those changes.
-    fn changed_by(mut self, changes: Self) -> Self {
+    /// Returns the complete list after applying changes.
+    fn with_changes(mut self, changes: Self) -> Self {
         let changed: HashSet<&str> = changes.hosts.iter().map(|line| line.host.as_str()).collect();
         self.hosts.retain(|line| !changed.contains(line.host.as_str()));
         self.hosts.extend(changes.hosts);
@@ -47,31 +53,39 @@
     }
 }
 
-/// One server.
+/// One server in a list.
 #[derive(Debug, Deserialize)]
 pub struct Line {
+    /// Host name.
     pub host: String,
-    /// As text: one that is no address must not cost the rest of the list.
+    /// Socket address, kept as text so that an invalid one does not invalidate the whole list.
     #[serde(default)]
     pub dial: String,
+    /// Name of its zone.
     #[serde(default)]
     pub site: String,
+    /// Its cell.
     #[serde(default)]
     pub block: u16,
+    /// Whether it accepts jobs.
     pub health: Health,
+    /// Its rated capacity.
     #[serde(default)]
     pub share: f64,
-    /// Unix time in milliseconds; 0: long ago.
+    /// Its start in milliseconds of Unix time; 0 if it was long ago.
     #[serde(default)]
     pub born_ms: u64,
 }
 
-/// What is not known is not given new work.
+/// Health of a server. An unknown value counts as terminating, so that the server gets no new jobs.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
+    /// Accepts jobs.
     InService,
+    /// Gone.
     Terminated,
+    /// Finishes its jobs and accepts no new ones.
     #[serde(other)]
     Terminating,
 }
@@ -86,92 +100,101 @@
     }
 }
 
-/// Asks for what is newer than a version, or for the whole list.
-fn watch(out: &mut Vec<u8>, agent: SocketAddr, from: Option<u64>) {
-    let hold = HOLD.as_millis();
+/// Writes a poll for changes after version `from`, or for the complete list.
+fn write_poll(out: &mut Vec<u8>, agent: SocketAddr, from: Option<u64>) {
+    let hold_ms = POLL_TIMEOUT.as_millis();
     match from {
-        Some(seq) => http::put(out, format_args!("GET /api/targets?from={seq}&hold_ms={hold} HTTP/1.1\r\n")),
+        Some(seq) => {
+            http::write(out, format_args!("GET /api/targets?from={seq}&hold_ms={hold_ms} HTTP/1.1\r\n"))
+        }
         None => out.extend_from_slice(b"GET /api/targets HTTP/1.1\r\n"),
     }
-    http::put(out, format_args!("Host: {agent}\r\n\r\n"));
+    http::write(out, format_args!("Host: {agent}\r\n\r\n"));
 }
 
-fn listing(answer: &http::Answer) -> Option<Listing> {
-    serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200)
+/// Parses the body of a successful response.
+fn parse_listing(response: &http::Response) -> Option<Listing> {
+    serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200)
 }
 
-/// The watch of discovery's agent.
+/// Client of the service discovery agent.
 pub struct Discovery {
     agent: SocketAddr,
     channel: Option<Channel>,
-    /// The version to go on from; none asks for the whole list.
+    /// Version whose changes are polled; `None` polls the complete list.
     seq: Option<u64>,
-    /// The list known at the start, until discovery has told what changed since.
-    known: Option<Listing>,
-    /// The latest version heard of, and since when only older ones come.
+    /// The list in the configuration, until the agent's first reply.
+    configured: Option<Listing>,
+    /// Latest version received.
     latest: u64,
-    older: Option<Moment>,
+    /// Since when only older versions arrive.
+    older_since: Option<Moment>,
+    /// Key of the present connection.
     key: u64,
-    /// When the watch was sent; a timer is set to send it.
-    asked: Moment,
-    waits: bool,
+    /// When the last poll was sent.
+    polled_at: Moment,
+    /// A timer for the next poll is set.
+    poll_scheduled: bool,
 }
 
 impl Discovery {
-    /// Goes on from the list that is known, where one is.
-    pub fn new(agent: SocketAddr, known: Listing) -> Self {
-        let (latest, known) = (known.seq, Some(known).filter(|known| !known.hosts.is_empty()));
-        let (seq, older) = (known.as_ref().map(|known| known.seq), None);
+    /// Creates a client that polls changes to the configured list, or the complete list if that is empty.
+    pub fn new(agent: SocketAddr, configured: Listing) -> Self {
+        let (latest, configured) =
+            (configured.seq, Some(configured).filter(|configured| !configured.hosts.is_empty()));
+        let (seq, older_since) = (configured.as_ref().map(|configured| configured.seq), None);
         Self {
             agent,
             channel: None,
             seq,
-            known,
+            configured,
             latest,
-            older,
+            older_since,
             key: 0,
-            asked: Moment::default(),
-            waits: false,
+            polled_at: Moment::default(),
+            poll_scheduled: false,
         }
     }
 
-    /// Whether a list is acted on, and what it says along with the one known at the start.
+    /// Decides whether to accept a list, and combines its changes with the configured list if that is not used yet.
+    /// Returns `None` for a list that is older than the present one.
     fn accept(&mut self, now: Moment, listing: Listing) -> Option<Listing> {
-        let older = listing.seq < self.latest;
-        let since = *self.older.get_or_insert(now);
-        if older && now.since(since) < BELIEVED {
+        let is_older = listing.seq < self.latest;
+        let since = *self.older_since.get_or_insert(now);
+        if is_older && now.since(since) < ACCEPT_OLDER_AFTER {
             self.seq = None;
             return None;
         }
-        (self.older, self.latest, self.seq) = (None, listing.seq, Some(listing.seq));
-        match self.known.take() {
-            Some(known) if !listing.whole => Some(known.changed_by(listing)),
+        (self.older_since, self.latest, self.seq) = (None, listing.seq, Some(listing.seq));
+        match self.configured.take() {
+            Some(configured) if !listing.whole => Some(configured.with_changes(listing)),
             _ => Some(listing),
         }
     }
 }
 
+/// Handles readiness of the connection to the agent.
 pub fn moved(limiter: &mut Limiter, key: u64) {
     while limiter.host.discovery.key == key {
         let Some(listing) = limiter.host.discovery_moved() else { break };
-        learn(limiter, listing);
+        apply_listing(limiter, listing);
     }
     settle(limiter);
 }
 
-/// Discovery has not answered since the start: what was known then has to do.
-pub fn use_known_list(limiter: &mut Limiter) {
-    if let Some(known) = limiter.host.discovery.known.take() {
-        learn(limiter, known);
+/// Uses the configured list if the agent has not replied since the start.
+pub fn use_configured_list(limiter: &mut Limiter) {
+    if let Some(configured) = limiter.host.discovery.configured.take() {
+        apply_listing(limiter, configured);
     }
 }
 
-/// Tells the module what a listing says.
-fn learn(limiter: &mut Limiter, listing: Listing) {
+/// Passes a list to the policy module and closes connections that may not be reused.
+fn apply_listing(limiter: &mut Limiter, listing: Listing) {
     let (now, whole) = (limiter.host.clock.now(), listing.whole);
     let host = &mut limiter.host;
-    let (entries, left) = host.machines.learn(now, listing, &host.zones);
-    host.leave_servers(&left);
+    let (entries, obsolete) = host.machines.apply_listing(now, listing, &host.zones);
+    host.close_links_to(&obsolete);
     if whole {
         limiter.roster_replaced(now, entries.into_iter());
     } else {
@@ -180,21 +203,23 @@
 }
 
 impl Sockets {
-    /// Starts to follow discovery, whose time to answer runs from when it was asked.
-    pub fn follow_discovery(&mut self) {
-        self.watch();
-        self.timers.set(self.clock.now() + FIRST, Due::Known);
+    /// Sends the first poll and starts the timer for its reply.
+    pub fn start_discovery(&mut self) {
+        self.connect_and_poll();
+        self.timers.schedule(self.clock.now() + FIRST_REPLY_TIMEOUT, TimerKind::DiscoveryTimeout);
     }
 
-    pub fn watch_soon(&mut self) {
-        if self.discovery.channel.is_none() && !std::mem::replace(&mut self.discovery.waits, true) {
-            let pause = if self.discovery.asked == Moment::default() { Span::ZERO } else { PAUSE };
-            self.timers.set(self.clock.now() + pause, Due::Watch);
+    /// Schedules a new connection and poll, unless one exists or is scheduled.
+    pub fn schedule_poll(&mut self) {
+        if self.discovery.channel.is_none() && !std::mem::replace(&mut self.discovery.poll_scheduled, true) {
+            let pause = if self.discovery.polled_at == Moment::default() { Span::ZERO } else { RETRY_DELAY };
+            self.timers.schedule(self.clock.now() + pause, TimerKind::PollDiscovery);
         }
     }
 
-    pub fn watch(&mut self) {
-        self.discovery.waits = false;
+    /// Connects to the agent and polls it, unless it is connected.
+    pub fn connect_and_poll(&mut self) {
+        self.discovery.poll_scheduled = false;
         if self.discovery.channel.is_some() {
             return;
         }
@@ -203,49 +228,52 @@
             Ok(channel) => (self.discovery.channel, self.discovery.key) = (Some(channel), key),
             Err(error) => info!(side = "discovery", key, reason = "refused", %error),
         }
-        self.ask();
+        self.poll();
     }
 
-    /// Asks the agent at that address from now on, and at once for the whole list: versions and changes told
-    /// elsewhere say nothing of what it has.
+    /// Changes the agent's address and polls the complete list there, since versions of different agents are not
+    /// comparable.
     pub fn move_discovery(&mut self, agent: SocketAddr) {
         if agent != self.discovery.agent {
             (self.discovery.agent, self.discovery.seq) = (agent, None);
-            (self.discovery.latest, self.discovery.older) = (0, None);
+            (self.discovery.latest, self.discovery.older_since) = (0, None);
             self.close_discovery("moved");
-            self.watch();
+            self.connect_and_poll();
         }
     }
 
-    fn ask(&mut self) {
+    /// Sends a poll on the present connection.
+    fn poll(&mut self) {
         let discovery = &mut self.discovery;
-        discovery.asked = self.clock.now();
-        let Some(channel) = &mut discovery.channel else { return self.watch_soon() };
-        watch(&mut channel.output, discovery.agent, discovery.seq);
-        // A connection that is not up yet takes no bytes; it moves once it is.
+        discovery.polled_at = self.clock.now();
+        let Some(channel) = &mut discovery.channel else { return self.schedule_poll() };
+        write_poll(&mut channel.output, discovery.agent, discovery.seq);
+        // Nothing is written before the connection is established; its readiness event resumes the write.
         if channel.flush().is_err() {
             self.close_discovery("broken");
         }
     }
 
-    /// The next listing that has come; the watch is renewed at once.
+    /// Returns the next list that has arrived, and sends the next poll at once.
     fn discovery_moved(&mut self) -> Option<Listing> {
         let now = self.clock.now();
         let discovery = &mut self.discovery;
         let channel = discovery.channel.as_mut()?;
         let flushed = channel.flush();
-        let filled = channel.fill(http::with_body(MOST_LIST));
-        let answer = http::answer(&channel.input, filled == Filled::Ended, MOST_LIST);
-        let (used, keep, listing) = match &answer {
-            Ok(Some(answer)) => (answer.used, answer.keep, listing(answer)),
-            Ok(None) if flushed.is_ok() && filled == Filled::Open && !channel.stuffed => return None,
+        let read = channel.fill(http::message_size_limit(MAX_LIST_BYTES));
+        let response = http::parse_response(&channel.input, read == ReadOutcome::Eof, MAX_LIST_BYTES);
+        let (consumed, keep, listing) = match &response {
+            Ok(Some(response)) => (response.consumed, response.keep_alive, parse_listing(response)),
+            Ok(None) if flushed.is_ok() && read == ReadOutcome::Open && !channel.may_have_more => {
+                return None
+            }
             _ => {
                 self.close_discovery("broken");
                 return None;
             }
         };
-        channel.used(used);
-        // An answer that cannot be read, or is not believed, is followed by the whole list.
+        channel.consume(consumed);
+        // After an invalid or rejected reply, the complete list is polled.
         discovery.seq = None;
         let Some(listing) = listing else {
             self.close_discovery("malformed answer");
@@ -254,31 +282,32 @@
         let accepted = discovery.accept(now, listing);
         if accepted.is_none() {
             self.close_discovery("older list");
-        } else if !keep || filled != Filled::Open {
+        } else if !keep || read != ReadOutcome::Open {
             self.close_discovery("closed by discovery");
         } else {
-            self.ask();
+            self.poll();
         }
         accepted
     }
 
+    /// Closes the connection, logs the reason and schedules a new poll.
     fn close_discovery(&mut self, reason: &str) {
         let Some(channel) = self.discovery.channel.take() else { return };
         info!(side = "discovery", key = self.discovery.key, reason);
         channel.close(&self.handle);
-        self.watch_soon();
+        self.schedule_poll();
     }
 
-    /// Leaves an agent that says nothing long after it had to answer.
+    /// Closes the connection if the reply to a poll is overdue.
     pub fn sweep_discovery(&mut self, now: Moment) {
-        let most = Span::from_micros(HOLD.as_micros() as u64) + LATE;
-        if self.discovery.channel.is_some() && now.since(self.discovery.asked) > most {
+        let max_wait = Span::from_micros(POLL_TIMEOUT.as_micros() as u64) + MAX_POLL_DELAY;
+        if self.discovery.channel.is_some() && now.since(self.discovery.polled_at) > max_wait {
             self.close_discovery("silent");
         }
     }
 
-    /// Servers are known, so that jobs can be sent on; and they are wanted.
+    /// Returns whether the gateway is ready for jobs: it knows servers and is not stopping.
     pub fn is_ready(&self) -> bool {
-        !self.machines.by_id.is_empty() && !self.stop.begun()
+        !self.machines.by_id.is_empty() && !self.stop.has_begun()
     }
 }
--- a/crates/gateway/src/wire/http.rs
+++ b/crates/gateway/src/wire/http.rs
@@ -1,132 +1,147 @@
-//! What both sides of HTTP/1.1 share: how long a message is, its body, and the headers that travel on.
+//! HTTP/1.1 parsing and writing for both clients and servers: message framing, bodies, and forwarded headers.
 
 use httparse::Header;
 use std::borrow::Cow;
 use std::io::Write;
 
-/// A body of a request holds this much at most; those of answers are bounded by memory alone.
-pub const MOST_BODY: usize = 64 * 1024;
-/// A head holds this much at most; twice what common servers allow a line.
-pub const MOST_HEAD: usize = 16 * 1024;
-pub const MOST_HEADERS: usize = 64;
-/// Chunks may be as small as a byte, each with its own framing; this much of it at most.
-const MOST_FRAMING: usize = 16 * 1024;
-/// A whole message fits in this much.
-pub const MOST_MESSAGE: usize = with_body(MOST_BODY);
+/// Largest body of a request, in bytes. Bodies of responses are limited by the available memory only.
+pub const MAX_REQUEST_BODY: usize = 64 * 1024;
+/// Largest head of a message, in bytes: twice what common servers allow for one line.
+pub const MAX_HEAD: usize = 16 * 1024;
+/// Most headers of a message.
+pub const MAX_HEADERS: usize = 64;
+/// Most bytes of chunk framing in a message. Chunks may be as small as one byte, each with its own framing.
+const MAX_CHUNK_FRAMING: usize = 16 * 1024;
+/// Size limit of a whole request, in bytes.
+pub const MAX_REQUEST: usize = message_size_limit(MAX_REQUEST_BODY);
 
-/// A whole message with a body of that size fits in so much.
-pub const fn with_body(bytes: usize) -> usize {
-    MOST_HEAD + bytes + MOST_FRAMING
+/// Returns the size limit of a whole message with a body of `bytes` bytes.
+pub const fn message_size_limit(bytes: usize) -> usize {
+    MAX_HEAD + bytes + MAX_CHUNK_FRAMING
 }
 
-/// Why a message cannot be read, as the status that tells its sender.
+/// A message was rejected; contains the status code for its sender.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Wrong(pub u16);
+pub struct HttpError(pub u16);
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Length {
+pub enum BodyLength {
+    /// After this number of bytes.
     Exactly(usize),
+    /// With the last chunk.
     Chunked,
-    ToEnd,
+    /// When the connection is closed.
+    UntilClose,
 }
 
-/// What the headers say of the message itself.
+/// What the headers say about the message's framing.
 #[derive(Debug)]
 pub struct Framing {
-    /// None where no header tells.
-    pub length: Option<Length>,
-    pub keep: bool,
+    /// `None` if no header specifies it.
+    pub length: Option<BodyLength>,
+    /// Whether the connection stays open after the message.
+    pub keep_alive: bool,
 }
 
-pub fn framing(headers: &[Header], version: Option<u8>, most: usize) -> Result<Framing, Wrong> {
-    let (mut length, mut keep) = (None, version == Some(1));
+/// Derives the framing from the headers. Errs if they contradict one another, if the transfer coding is not supported,
+/// or if the body is longer than `max_body` bytes.
+pub fn parse_framing(headers: &[Header], version: Option<u8>, max_body: usize) -> Result<Framing, HttpError> {
+    let (mut length, mut keep_alive) = (None, version == Some(1));
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits =
                 text(header.value).filter(|it| !it.is_empty() && it.bytes().all(|b| b.is_ascii_digit()));
-            let told = Some(Length::Exactly(digits.and_then(|it| it.parse().ok()).ok_or(Wrong(400))?));
-            // Two lengths that differ would let one message pass for two.
-            if length.is_some() && length != told {
-                return Err(Wrong(400));
+            let value =
+                Some(BodyLength::Exactly(digits.and_then(|it| it.parse().ok()).ok_or(HttpError(400))?));
+            // Two different lengths would allow request smuggling.
+            if length.is_some() && length != value {
+                return Err(HttpError(400));
             }
-            length = told;
+            length = value;
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             let chunked = text(header.value).is_some_and(|it| it.eq_ignore_ascii_case("chunked"));
             if length.is_some() {
-                return Err(Wrong(400));
+                return Err(HttpError(400));
             }
-            length = Some(if chunked { Length::Chunked } else { return Err(Wrong(501)) });
+            length = Some(if chunked { BodyLength::Chunked } else { return Err(HttpError(501)) });
         } else if header.name.eq_ignore_ascii_case("connection") {
             for option in text(header.value).unwrap_or("").split(',') {
                 match option.trim() {
-                    it if it.eq_ignore_ascii_case("close") => keep = false,
-                    it if it.eq_ignore_ascii_case("keep-alive") => keep = true,
+                    it if it.eq_ignore_ascii_case("close") => keep_alive = false,
+                    it if it.eq_ignore_ascii_case("keep-alive") => keep_alive = true,
                     _ => {}
                 }
             }
         }
     }
     match length {
-        Some(Length::Exactly(bytes)) if bytes > most => Err(Wrong(413)),
-        _ => Ok(Framing { length, keep }),
+        Some(BodyLength::Exactly(bytes)) if bytes > max_body => Err(HttpError(413)),
+        _ => Ok(Framing { length, keep_alive }),
     }
 }
 
+/// Returns a header value as trimmed text, or `None` if it is not UTF-8.
 pub fn text(value: &[u8]) -> Option<&str> {
     std::str::from_utf8(value).ok().map(str::trim)
 }
 
-/// A body and how much of the input it takes.
+/// A body, and the number of input bytes that it takes up.
 pub type Body<'a> = (Cow<'a, [u8]>, usize);
 
-/// The body of `most` bytes at most that follows a head; none until all of it has come.
-pub fn body(rest: &[u8], length: Length, ended: bool, most: usize) -> Result<Option<Body<'_>>, Wrong> {
+/// Parses the body that follows a head. Returns `None` until it is complete. Errs if it is malformed or longer than
+/// `max_body` bytes.
+pub fn parse_body(
+    rest: &[u8],
+    length: BodyLength,
+    at_eof: bool,
+    max_body: usize,
+) -> Result<Option<Body<'_>>, HttpError> {
     match length {
-        Length::Exactly(bytes) => Ok(rest.get(..bytes).map(|body| (Cow::from(body), bytes))),
-        Length::ToEnd if rest.len() > most => Err(Wrong(413)),
-        Length::ToEnd => Ok(ended.then(|| (Cow::from(rest), rest.len()))),
-        Length::Chunked => chunks(rest, most),
+        BodyLength::Exactly(bytes) => Ok(rest.get(..bytes).map(|body| (Cow::from(body), bytes))),
+        BodyLength::UntilClose if rest.len() > max_body => Err(HttpError(413)),
+        BodyLength::UntilClose => Ok(at_eof.then(|| (Cow::from(rest), rest.len()))),
+        BodyLength::Chunked => parse_chunks(rest, max_body),
     }
 }
 
-fn chunks(rest: &[u8], most: usize) -> Result<Option<Body<'_>>, Wrong> {
+fn parse_chunks(rest: &[u8], max_body: usize) -> Result<Option<Body<'_>>, HttpError> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let (line, size) = match httparse::parse_chunk_size(&rest[at..]) {
             Ok(httparse::Status::Complete((line, size))) => (line, size as usize),
             Ok(httparse::Status::Partial) => break,
-            Err(_) => return Err(Wrong(400)),
+            Err(_) => return Err(HttpError(400)),
         };
         at += line;
         if size == 0 {
-            // Trailers are read over.
-            let mut trailers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+            // Trailers are ignored.
+            let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             return match httparse::parse_headers(&rest[at..], &mut trailers) {
-                Ok(httparse::Status::Complete((used, _))) => Ok(Some((Cow::from(body), at + used))),
+                Ok(httparse::Status::Complete((consumed, _))) => Ok(Some((Cow::from(body), at + consumed))),
                 Ok(httparse::Status::Partial) => Ok(None),
-                Err(_) => Err(Wrong(400)),
+                Err(_) => Err(HttpError(400)),
             };
         }
-        if size > most - body.len() {
-            return Err(Wrong(413));
+        if size > max_body - body.len() {
+            return Err(HttpError(413));
         }
         let Some(data) = rest.get(at..at + size + 2) else { break };
         if !data.ends_with(b"\r\n") {
-            return Err(Wrong(400));
+            return Err(HttpError(400));
         }
         body.extend_from_slice(&data[..size]);
         at += size + 2;
     }
-    if rest.len() > most + MOST_FRAMING {
-        return Err(Wrong(413));
+    if rest.len() > max_body + MAX_CHUNK_FRAMING {
+        return Err(HttpError(413));
     }
     Ok(None)
 }
 
-/// Writes the headers that are meant for the far end, but for those named.
-pub fn pass_on(out: &mut Vec<u8>, headers: &[Header], but: &[&str]) {
-    const OF_THE_CONNECTION: [&str; 9] = [
+/// Writes all headers except hop-by-hop ones and those in `except`.
+pub fn write_end_to_end_headers(out: &mut Vec<u8>, headers: &[Header], except: &[&str]) {
+    const HOP_BY_HOP: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -138,8 +153,8 @@
         "expect",
     ];
     for header in headers {
-        let named = |names: &[&str]| names.iter().any(|name| header.name.eq_ignore_ascii_case(name));
-        if !named(&OF_THE_CONNECTION) && !named(but) {
+        let is_in = |names: &[&str]| names.iter().any(|name| header.name.eq_ignore_ascii_case(name));
+        if !is_in(&HOP_BY_HOP) && !is_in(except) {
             out.extend_from_slice(header.name.as_bytes());
             out.extend_from_slice(b": ");
             out.extend_from_slice(header.value);
@@ -148,47 +163,62 @@
     }
 }
 
-/// Writes to memory, which cannot fail.
-pub fn put(out: &mut Vec<u8>, text: std::fmt::Arguments) {
+/// Appends formatted text. Writing to memory does not fail.
+pub fn write(out: &mut Vec<u8>, text: std::fmt::Arguments) {
     let written = out.write_fmt(text);
     debug_assert!(written.is_ok());
 }
 
-/// An answer as it came.
+/// A response as received.
 #[derive(Debug)]
-pub struct Answer<'a> {
+pub struct Response<'a> {
+    /// Status code.
     pub status: u16,
+    /// All headers.
     pub headers: Vec<Header<'a>>,
+    /// Body without chunk framing.
     pub body: Cow<'a, [u8]>,
-    /// The connection may carry another request.
-    pub keep: bool,
-    pub used: usize,
+    /// Whether the connection may carry another request.
+    pub keep_alive: bool,
+    /// Number of input bytes that the response takes up, interim responses before it included.
+    pub consumed: usize,
 }
 
-/// The answer at the start of `input`, with a body of `most` bytes at most; none until all of it has come.
-pub fn answer(input: &[u8], ended: bool, most: usize) -> Result<Option<Answer<'_>>, Wrong> {
+/// Parses the response at the start of `input`. Returns `None` until it is complete. Errs if it is malformed or its
+/// body is longer than `max_body` bytes.
+pub fn parse_response(
+    input: &[u8],
+    at_eof: bool,
+    max_body: usize,
+) -> Result<Option<Response<'_>>, HttpError> {
     let mut start = 0;
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let used = match head.parse(&input[start..]) {
-            Ok(httparse::Status::Complete(used)) => start + used,
-            Ok(httparse::Status::Partial) if input.len() - start > MOST_HEAD => return Err(Wrong(502)),
+        let consumed = match head.parse(&input[start..]) {
+            Ok(httparse::Status::Complete(consumed)) => start + consumed,
+            Ok(httparse::Status::Partial) if input.len() - start > MAX_HEAD => return Err(HttpError(502)),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Wrong(502)),
+            Err(_) => return Err(HttpError(502)),
         };
         let (version, status) = (head.version, head.code.unwrap_or(0));
-        // An interim answer says nothing yet.
+        // Skips interim responses.
         if (100..200).contains(&status) {
-            start = used;
+            start = consumed;
             continue;
         }
-        let framing = framing(head.headers, version, most)?;
-        let bare = status == 204 || status == 304;
-        let length = if bare { Length::Exactly(0) } else { framing.length.unwrap_or(Length::ToEnd) };
-        let Some((body, length_used)) = body(&input[used..], length, ended, most)? else { return Ok(None) };
-        let keep = framing.keep && length != Length::ToEnd;
+        let framing = parse_framing(head.headers, version, max_body)?;
+        let has_no_body = status == 204 || status == 304;
+        let length = if has_no_body {
+            BodyLength::Exactly(0)
+        } else {
+            framing.length.unwrap_or(BodyLength::UntilClose)
+        };
+        let Some((body, body_consumed)) = parse_body(&input[consumed..], length, at_eof, max_body)? else {
+            return Ok(None);
+        };
+        let keep_alive = framing.keep_alive && length != BodyLength::UntilClose;
         let headers = head.headers.to_vec();
-        return Ok(Some(Answer { status, headers, body, keep, used: used + length_used }));
+        return Ok(Some(Response { status, headers, body, keep_alive, consumed: consumed + body_consumed }));
     }
 }
--- a/crates/gateway/src/wire/mod.rs
+++ b/crates/gateway/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What is spoken on the wire, and the connections that it is spoken on. Messages between gateways have no file
-//! here, as the module sends none.
+//! Protocols towards clients, servers, the counter service and service discovery, with their connections. The datagrams
+//! between gateways are in `crate::peers`.
 
 pub mod client;
 pub mod counter;
--- a/crates/gateway/src/wire/request/tests.rs
+++ b/crates/gateway/src/wire/request/tests.rs
@@ -4,18 +4,24 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use std::cell::Cell;
 
-fn names() -> Names {
+fn names() -> RequestNames {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
-    let repeats =
+    let repeat_policies =
         vec![RepeatPolicy::Idempotent, RepeatPolicy::Deduplicated(DedupScope::All, Span::from_millis(1_000))];
-    Names { bands: names(&["look", "post"]), plans: names(&["team"]), repeats, most_units: 6.0, gateways: 3 }
+    RequestNames {
+        classes: names(&["look", "post"]),
+        plans: names(&["team"]),
+        repeat_policies,
+        max_units: 6.0,
+        gateway_count: 3,
+    }
 }
 
 fn runner() -> TestRunner {
     TestRunner::new(Config { cases: 2_000, rng_seed: RngSeed::Fixed(7), ..Config::default() })
 }
 
-/// Pieces of requests, sound and not, in any order.
+/// Generates input from pieces of requests, valid and invalid, in any order.
 fn input() -> impl Strategy<Value = Vec<u8>> {
     const PIECES: [&str; 16] = [
         "GET /api HTTP/1.1\r\n",
@@ -47,30 +53,30 @@
 }
 
 #[test]
-fn a_request_is_the_same_however_its_bytes_come() {
-    // How many inputs reached each end of the check.
-    let (whole, wrong) = (Cell::new(0), Cell::new(0));
+fn a_request_parses_the_same_however_its_bytes_arrive() {
+    // Number of inputs that were parsed as complete requests, and that were rejected.
+    let (complete, rejected) = (Cell::new(0), Cell::new(0));
     let outcome = runner().run(&input(), |input| {
         let first = (0..=input.len()).find_map(|end| {
-            let taken = take(&input[..end], Moment::default(), &names());
-            (!matches!(taken, Ok(None))).then_some((end, taken))
+            let parsed = parse(&input[..end], Moment::default(), &names());
+            (!matches!(parsed, Ok(None))).then_some((end, parsed))
         });
-        match (first, take(&input, Moment::default(), &names())) {
+        match (first, parse(&input, Moment::default(), &names())) {
             (None, all) => prop_assert!(matches!(all, Ok(None))),
             (Some((end, Ok(Some(first)))), Ok(Some(all))) => {
-                whole.set(whole.get() + 1);
-                prop_assert_eq!((first.used, first.keep), (all.used, all.keep));
-                prop_assert_eq!(end, all.used);
+                complete.set(complete.get() + 1);
+                prop_assert_eq!((first.consumed, first.keep_alive), (all.consumed, all.keep_alive));
+                prop_assert_eq!(end, all.consumed);
                 prop_assert_eq!(format!("{:?}", first.request), format!("{:?}", all.request));
             }
             (Some((_, Err(first))), Err(all)) => {
-                wrong.set(wrong.get() + 1);
+                rejected.set(rejected.get() + 1);
                 prop_assert_eq!(first, all);
             }
-            _ => prop_assert!(false, "whole and in pieces differ"),
+            _ => prop_assert!(false, "the results for complete and partial input differ"),
         }
         Ok(())
     });
     outcome.unwrap();
-    assert!(whole.get() > 20 && wrong.get() > 20, "{whole:?} whole, {wrong:?} wrong");
+    assert!(complete.get() > 20 && rejected.get() > 20, "{complete:?} complete, {rejected:?} rejected");
 }
