--- a/crates/gateway/src/memory/jobs.rs
+++ b/crates/gateway/src/memory/jobs.rs
@@ -9,11 +9,11 @@
     /// Key of the client's connection.
     pub client: u64,
     /// The request as it is forwarded to a server.
-    pub onward: ForwardedRequest,
+    pub forwarded_request: ForwardedRequest,
     /// Number of relays so far.
     pub relays: u8,
     /// Key of the server connection that carries the latest relay.
-    pub out: Option<u64>,
+    pub relay_link: Option<u64>,
 }
 
 /// All open jobs.
@@ -29,17 +29,17 @@
 
 impl Jobs {
     /// Adds a job and returns its new id.
-    pub fn accept(&mut self, client: u64, onward: ForwardedRequest) -> JobId {
+    pub fn accept(&mut self, client: u64, forwarded_request: ForwardedRequest) -> JobId {
         self.last_id += 1;
-        self.ids.insert(onward.id.clone());
-        self.open.insert(self.last_id, Job { client, onward, relays: 0, out: None });
+        self.ids.insert(forwarded_request.id.clone());
+        self.open.insert(self.last_id, Job { client, forwarded_request, relays: 0, relay_link: None });
         self.last_id
     }
 
     /// Removes a job that has ended and returns it.
     pub fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.open.remove(&id)?;
-        self.ids.remove(&job.onward.id);
+        self.ids.remove(&job.forwarded_request.id);
         Some(job)
     }
 }
--- a/crates/gateway/src/memory/machines.rs
+++ b/crates/gateway/src/memory/machines.rs
@@ -18,15 +18,15 @@
     /// Whether the connection is established.
     pub up: bool,
     /// The relay that the connection carries, if any.
-    pub out: Option<Relay>,
+    pub relay: Option<Relay>,
     /// Since when the connection is idle.
-    pub idle: Moment,
+    pub idle_since: Moment,
 }
 
 impl Link {
     /// Returns whether the connection carries the relay with that serial number.
     pub fn carries_relay(&self, serial: u64) -> bool {
-        self.out.as_ref().is_some_and(|out| out.serial == serial)
+        self.relay.as_ref().is_some_and(|relay| relay.serial == serial)
     }
 }
 
@@ -41,7 +41,7 @@
     /// When it was started.
     pub sent: Moment,
     /// Whether its request was passed to the connection; until then it can be cancelled as never sent.
-    pub begun: bool,
+    pub request_written: bool,
 }
 
 /// How long a removed server is remembered. Successive lists may contradict one another for a while, and a server that
@@ -58,7 +58,7 @@
     /// When it was removed from the list.
     removed_at: Option<Moment>,
     /// Keys of its idle connections, the most recently used last.
-    pub idle: Vec<u64>,
+    pub idle_links: Vec<u64>,
 }
 
 /// All known servers.
@@ -82,25 +82,25 @@
         let (mut entries, mut obsolete) = (Vec::with_capacity(listing.hosts.len()), HashSet::new());
         if listing.whole {
             // Servers missing from a complete list are removed; listed ones are updated below.
-            self.by_id.values_mut().for_each(|machine| machine.removed_at = machine.removed_at.or(Some(now)));
+            self.by_id.values_mut().for_each(|server| server.removed_at = server.removed_at.or(Some(now)));
         }
         for line in listing.hosts {
             let by_id = &self.by_id;
-            let server = *self.ids.entry(line.host.clone()).or_insert_with(|| server_id(&line.host, by_id));
-            let machine = self.by_id.entry(server).or_default();
+            let id = *self.ids.entry(line.host.clone()).or_insert_with(|| server_id(&line.host, by_id));
+            let server = self.by_id.entry(id).or_default();
             let is_removed = matches!(line.health, Health::Terminated);
-            machine.removed_at = is_removed.then(|| machine.removed_at.unwrap_or(now));
+            server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
             let address = line.dial.parse().ok();
             let in_service = matches!(line.health, Health::InService);
-            if !in_service || address != machine.address || line.born_ms != machine.born_ms {
-                obsolete.insert(server);
+            if !in_service || address != server.address || line.born_ms != server.born_ms {
+                obsolete.insert(id);
             }
-            (machine.address, machine.born_ms) = (address, line.born_ms);
-            entries.push(roster_entry(server, &line, zones));
+            (server.address, server.born_ms) = (address, line.born_ms);
+            entries.push(roster_entry(id, &line, zones));
         }
         if listing.whole {
             obsolete.extend(
-                self.by_id.iter().filter(|(_, machine)| machine.removed_at.is_some()).map(|(id, _)| *id),
+                self.by_id.iter().filter(|(_, server)| server.removed_at.is_some()).map(|(id, _)| *id),
             );
         }
         (entries, obsolete)
@@ -109,8 +109,8 @@
     /// Removes servers after [`REMOVED_SERVER_TTL`]; otherwise constant replacement of servers would fill the memory.
     pub fn remove_expired(&mut self, now: Moment) {
         let is_expired =
-            |machine: &KnownServer| machine.removed_at.is_some_and(|at| now.since(at) > REMOVED_SERVER_TTL);
-        self.by_id.retain(|_, machine| !is_expired(machine));
+            |server: &KnownServer| server.removed_at.is_some_and(|at| now.since(at) > REMOVED_SERVER_TTL);
+        self.by_id.retain(|_, server| !is_expired(server));
         let by_id = &self.by_id;
         self.ids.retain(|_, id| by_id.contains_key(id));
     }
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -147,8 +147,9 @@
     }
 
     fn cancel_relay(&mut self, job: JobId, relay: u8) {
-        let out = self.jobs.open.get(&job).and_then(|record| record.out);
-        let is_it = |link: &Link| link.out.as_ref().is_some_and(|out| (out.job, out.number) == (job, relay));
+        let out = self.jobs.open.get(&job).and_then(|record| record.relay_link);
+        let is_it =
+            |link: &Link| link.relay.as_ref().is_some_and(|out| (out.job, out.number) == (job, relay));
         if let Some(key) = out.filter(|key| self.links.get(key).is_some_and(is_it)) {
             self.close_link(key, Some(Outcome::Cancelled), "withdrawn");
         }
--- a/crates/gateway/src/wire/client.rs
+++ b/crates/gateway/src/wire/client.rs
@@ -47,7 +47,7 @@
     /// Its open job.
     pub job: Option<JobId>,
     /// Whether the connection stays open after the present response.
-    pub keep: bool,
+    pub keep_alive: bool,
     stage: Stage,
     /// When the stage began, or the client last showed activity.
     since: Moment,
@@ -187,7 +187,7 @@
                 let client = Client {
                     channel,
                     job: None,
-                    keep: true,
+                    keep_alive: true,
                     stage: Stage::Idle,
                     since: now,
                     deadline: now + REQUEST_TIMEOUT,
@@ -268,17 +268,19 @@
         let is_open = |id: &str| self.jobs.ids.contains(id);
         match request::parse(&client.channel.input, now, &self.names) {
             // A server would treat a job with the id of another open job as its duplicate.
-            Ok(Some(ParsedRequest { request: Request::Job(job), .. })) if is_open(&job.onward.id) => {
+            Ok(Some(ParsedRequest { request: Request::Job(job), .. }))
+                if is_open(&job.forwarded_request.id) =>
+            {
                 self.reject(key, 409)
             }
             Ok(Some(parsed)) => {
                 client.channel.consume(parsed.consumed);
-                (client.keep, client.sent_continue) = (parsed.keep_alive, false);
+                (client.keep_alive, client.sent_continue) = (parsed.keep_alive, false);
                 match parsed.request {
                     Request::Ready => {
-                        client.keep &= !stopping;
+                        client.keep_alive &= !stopping;
                         let status = if ready { 200 } else { 503 };
-                        request::write_response(&mut client.channel.output, status, None, client.keep);
+                        request::write_response(&mut client.channel.output, status, None, client.keep_alive);
                         self.flush_response(key);
                         return Next::Answered;
                     }
@@ -289,12 +291,12 @@
                         let Some(client) = self.clients.get_mut(&key) else { return Next::Nothing };
                         if crowded || late {
                             let (status, reason) = if late { (503, "stopping") } else { (429, "crowded") };
-                            (client.keep, client.reason) = (false, reason);
+                            (client.keep_alive, client.reason) = (false, reason);
                             request::write_response(&mut client.channel.output, status, None, false);
                             self.flush_response(key);
                             return Next::Answered;
                         }
-                        let id = self.jobs.accept(key, job.onward);
+                        let id = self.jobs.accept(key, job.forwarded_request);
                         (client.admission, client.job) = (Admission::ForJobs, Some(id));
                         return Next::Job(Arrival { job: id, ..job.arrival });
                     }
@@ -321,7 +323,7 @@
     /// Responds with an error status and closes the connection.
     fn reject(&mut self, key: u64, status: u16) {
         let Some(client) = self.clients.get_mut(&key) else { return };
-        (client.keep, client.reason) = (false, request::reason(status));
+        (client.keep_alive, client.reason) = (false, request::reason(status));
         request::write_response(&mut client.channel.output, status, None, false);
         self.flush_response(key);
     }
@@ -331,8 +333,8 @@
         let Some(job) = self.jobs.remove(id) else { return };
         let Some(client) = self.clients.get_mut(&job.client) else { return };
         client.job = None;
-        client.keep &= !self.stop.has_begun();
-        write(&mut client.channel.output, client.keep);
+        client.keep_alive &= !self.stop.has_begun();
+        write(&mut client.channel.output, client.keep_alive);
         self.flush_response(job.client);
     }
 
@@ -348,7 +350,7 @@
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.channel.flush() {
-            Ok(true) if client.keep && !self.stop.is_closed() => {
+            Ok(true) if client.keep_alive && !self.stop.is_closed() => {
                 client.served = true;
                 (client.stage, client.since, client.deadline) = (Stage::Idle, now, now + KEEP_ALIVE_TIMEOUT);
                 if client.overrun || !client.channel.input.is_empty() {
@@ -375,9 +377,9 @@
     pub fn close_client(&mut self, key: u64, reason: &str) {
         let Some(client) = self.clients.remove(&key) else { return };
         if let Some(id) = client.job {
-            let out = self.jobs.remove(id).and_then(|job| job.out);
+            let relay_link = self.jobs.remove(id).and_then(|job| job.relay_link);
             self.left.push_back(id);
-            out.into_iter().for_each(|out| self.cancel_unsent(out));
+            relay_link.into_iter().for_each(|link| self.cancel_unsent(link));
         }
         info!(side = "client", key, reason, stage = ?client.stage);
         client.channel.close(&self.handle);
@@ -415,7 +417,7 @@
         if client.overrun || !client.channel.input.is_empty() {
             return self.resumed.push_back(key);
         }
-        (client.keep, client.reason) = (false, reason);
+        (client.keep_alive, client.reason) = (false, reason);
         self.flush_response(key);
     }
 }
--- a/crates/gateway/src/wire/counter.rs
+++ b/crates/gateway/src/wire/counter.rs
@@ -111,7 +111,7 @@
     let (known, rest) = part.split_at(part.len().min(3));
     match known {
         b"ok " => rest.iter().all(|byte| b"+-.0123456789eE \r".contains(byte)),
-        _ => [&b"ok "[..], b"busy\r", b"error\r"].iter().any(|answer| answer.starts_with(part)),
+        _ => [&b"ok "[..], b"busy\r", b"error\r"].iter().any(|reply| reply.starts_with(part)),
     }
 }
 
--- a/crates/gateway/src/wire/request.rs
+++ b/crates/gateway/src/wire/request.rs
@@ -20,7 +20,7 @@
     /// Description for the policy module. The job id is 0 until the gateway assigns one.
     pub arrival: Arrival,
     /// The request for the server.
-    pub onward: ForwardedRequest,
+    pub forwarded_request: ForwardedRequest,
 }
 
 /// The request that is forwarded to a server. The header with the time left is added when it is sent.
@@ -99,7 +99,7 @@
         }
         Request::Job(Job {
             arrival,
-            onward: ForwardedRequest { id, head: forwarded, body: body.into_owned() },
+            forwarded_request: ForwardedRequest { id, head: forwarded, body: body.into_owned() },
         })
     };
     Ok(Some(ParsedRequest { request, keep_alive: framing.keep_alive, consumed: start + consumed }))
@@ -174,10 +174,10 @@
 }
 
 /// Writes a request to a server, with the time that is left for it.
-pub fn write_relay(out: &mut Vec<u8>, onward: &ForwardedRequest, time_left: Span) {
-    out.extend_from_slice(&onward.head);
+pub fn write_relay(out: &mut Vec<u8>, forwarded_request: &ForwardedRequest, time_left: Span) {
+    out.extend_from_slice(&forwarded_request.head);
     http::write(out, format_args!("X-Time-Left-Ms: {}\r\n\r\n", (time_left.micros() / 1_000).max(1)));
-    out.extend_from_slice(&onward.body);
+    out.extend_from_slice(&forwarded_request.body);
 }
 
 /// Writes a server's successful response to a client, without the headers meant for the gateway.
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -36,7 +36,8 @@
 /// Starts a relay whose connection has been established, perhaps long after it was requested. By now the client may
 /// have disconnected, or the server may drain or no longer deduplicate this job; then the relay ends as never sent.
 fn start_relay(limiter: &mut Limiter, key: u64) {
-    let Some(job) = limiter.host.links.get(&key).and_then(|link| link.out.as_ref()).map(|out| out.job) else {
+    let Some(job) = limiter.host.links.get(&key).and_then(|link| link.relay.as_ref()).map(|relay| relay.job)
+    else {
         return;
     };
     limiter.host.check_client_of(job);
@@ -51,9 +52,11 @@
     /// Returns the key of an idle connection to a server, or of a new one. Errs with the relay's outcome if there is
     /// none.
     pub fn connection_to(&mut self, server: ServerId, now: Moment) -> Result<u64, Outcome> {
-        while let Some(key) = self.machines.by_id.get_mut(&server).and_then(|machine| machine.idle.pop()) {
+        while let Some(key) =
+            self.machines.by_id.get_mut(&server).and_then(|machine| machine.idle_links.pop())
+        {
             let Some(link) = self.links.get_mut(&key) else { continue };
-            if now.since(link.idle) >= self.idle {
+            if now.since(link.idle_since) >= self.idle {
                 self.close_link(key, None, "idle");
                 continue;
             }
@@ -76,7 +79,7 @@
         let channel = Channel::connect(&self.handle, address, Moved::Server(key));
         match channel {
             Ok(channel) => {
-                self.links.insert(key, Link { channel, server, up: false, out: None, idle: now });
+                self.links.insert(key, Link { channel, server, up: false, relay: None, idle_since: now });
                 self.timers.schedule(now + self.connect_within, TimerKind::ConnectTimeout(key));
                 Ok(key)
             }
@@ -93,8 +96,10 @@
         if self.clients.len() + self.links.len() < self.most {
             return true;
         }
-        let idle = self.links.iter().filter(|(_, link)| link.out.is_none());
-        let Some(oldest) = idle.min_by_key(|(_, link)| link.idle).map(|(key, _)| *key) else { return false };
+        let idle = self.links.iter().filter(|(_, link)| link.relay.is_none());
+        let Some(oldest) = idle.min_by_key(|(_, link)| link.idle_since).map(|(key, _)| *key) else {
+            return false;
+        };
         self.close_link(oldest, None, "crowded");
         true
     }
@@ -111,8 +116,8 @@
         let serial = self.number();
         let Some(record) = self.jobs.open.get_mut(&job) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
-        record.out = Some(key);
-        link.out = Some(Relay { job, number, serial, sent: now, begun: false });
+        record.relay_link = Some(key);
+        link.relay = Some(Relay { job, number, serial, sent: now, request_written: false });
         self.timers.schedule(now + time_left, TimerKind::RelayTimeout(key, serial));
         if link.up {
             self.write_request(key, time_left);
@@ -122,10 +127,10 @@
     /// Writes the request of a relay to its connection, which is established.
     fn write_request(&mut self, key: u64, time_left: Span) {
         let Some(link) = self.links.get_mut(&key) else { return };
-        let Some(relay) = &mut link.out else { return };
+        let Some(relay) = &mut link.relay else { return };
         let Some(record) = self.jobs.open.get(&relay.job) else { return };
-        relay.begun = true;
-        request::write_relay(&mut link.channel.output, &record.onward, time_left);
+        relay.request_written = true;
+        request::write_relay(&mut link.channel.output, &record.forwarded_request, time_left);
         if link.channel.flush().is_err() {
             self.close_link(key, None, "broken");
         }
@@ -136,10 +141,10 @@
     pub fn cancel_unsent(&mut self, key: u64) {
         let Some(link) = self.links.get(&key) else { return };
         // If it was cancelled already, the connection is idle and must not be added to the idle list twice.
-        let Some(begun) = link.out.as_ref().map(|out| out.begun) else { return };
-        if begun && link.channel.unwritten() > 0 {
+        let Some(request_written) = link.relay.as_ref().map(|relay| relay.request_written) else { return };
+        if request_written && link.channel.unwritten() > 0 {
             self.close_link(key, Some(Outcome::NotSent), "taken back");
-        } else if !begun {
+        } else if !request_written {
             let up = link.up;
             self.end_relay(key, Outcome::NotSent);
             if up {
@@ -150,7 +155,7 @@
 
     /// Closes the connections to these servers that are idle or whose relay has not been sent yet.
     pub fn close_links_to(&mut self, servers: &HashSet<ServerId>) {
-        let waits = |link: &Link| link.out.as_ref().is_none_or(|out| !out.begun);
+        let waits = |link: &Link| link.relay.as_ref().is_none_or(|relay| !relay.request_written);
         let unused = self.links.iter().filter(|(_, link)| servers.contains(&link.server) && waits(link));
         let unused: Vec<u64> = unused.map(|(key, _)| *key).collect();
         unused.into_iter().for_each(|key| self.close_link(key, Some(Outcome::NotSent), "roster"));
@@ -164,7 +169,7 @@
             Err(_) => self.close_link(key, None, "refused"),
         }
         let Some(link) = self.links.get(&key).filter(|link| link.up) else { return false };
-        if link.out.is_none() {
+        if link.relay.is_none() {
             self.mark_idle(key);
         }
         true
@@ -178,7 +183,7 @@
         let max_body = self.most_answer;
         let read = link.channel.fill(http::message_size_limit(max_body));
         let (fully_sent, open) = (matches!(flushed, Ok(true)), read == ReadOutcome::Open);
-        let Some(relay) = &link.out else {
+        let Some(relay) = &link.relay else {
             if !open || !link.channel.input.is_empty() {
                 self.close_link(key, None, if open { "unasked" } else { "closed by server" });
             }
@@ -194,8 +199,8 @@
                 if let (Outcome::Succeeded, Some(record)) = (outcome, self.jobs.open.get(&job)) {
                     let client = self.clients.get_mut(&record.client);
                     if let Some(client) = client {
-                        let keep = client.keep && !self.stop.has_begun();
-                        client.keep = keep;
+                        let keep = client.keep_alive && !self.stop.has_begun();
+                        client.keep_alive = keep;
                         request::write_success(&mut client.channel.output, &response, keep);
                     }
                 }
@@ -232,9 +237,9 @@
     fn mark_idle(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(link) = self.links.get_mut(&key) else { return };
-        link.idle = now;
+        link.idle_since = now;
         if let Some(machine) = self.machines.by_id.get_mut(&link.server) {
-            machine.idle.push(key);
+            machine.idle_links.push(key);
         }
     }
 
@@ -242,11 +247,11 @@
     fn end_relay(&mut self, key: u64, outcome: Outcome) {
         let now = self.clock.now();
         let Some(link) = self.links.get_mut(&key) else { return };
-        let Some(relay) = link.out.take() else { return };
+        let Some(relay) = link.relay.take() else { return };
         let record = self.jobs.open.get_mut(&relay.job);
         let job_finished = record.is_none();
         if let Some(record) = record {
-            record.out = None;
+            record.relay_link = None;
         }
         let duration = now.since(relay.sent);
         self.ended.push_back(RelayEnd {
@@ -264,7 +269,8 @@
         let Some(link) = self.links.get(&key) else { return };
         // A server starts a job only when its request is complete; before that, a timeout means no more than a failed
         // connection attempt.
-        let unsent = link.out.as_ref().is_some_and(|out| !out.begun) || link.channel.unwritten() > 0;
+        let unsent =
+            link.relay.as_ref().is_some_and(|relay| !relay.request_written) || link.channel.unwritten() > 0;
         let outcome = match outcome {
             // Cancelled by the gateway, so it is not a failure of the server.
             Some(Outcome::Cancelled | Outcome::NotSent) if unsent => Outcome::NotSent,
@@ -275,7 +281,7 @@
         self.end_relay(key, outcome);
         if let Some(link) = self.links.remove(&key) {
             if let Some(machine) = self.machines.by_id.get_mut(&link.server) {
-                machine.idle.retain(|idle| *idle != key);
+                machine.idle_links.retain(|idle| *idle != key);
             }
             link.channel.close(&self.handle);
         }
@@ -283,7 +289,7 @@
 
     /// Closes connections that the server itself would soon close: a request written at that moment would be reset.
     pub fn sweep_links(&mut self, now: Moment) {
-        let expired = |link: &Link| link.out.is_none() && now.since(link.idle) >= self.idle;
+        let expired = |link: &Link| link.relay.is_none() && now.since(link.idle_since) >= self.idle;
         let expired: Vec<u64> =
             self.links.iter().filter(|(_, link)| expired(link)).map(|(key, _)| *key).collect();
         expired.into_iter().for_each(|key| self.close_link(key, None, "idle"));
