--- a/crates/batch-judge/src/lib.rs
+++ b/crates/batch-judge/src/lib.rs
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 
 use seen::JobSeen;
-pub use seen::{Listed, Outcome, SentItem, SentJob};
+pub use seen::{ListedResult, Outcome, SubmittedItem, SubmittedJob};
 use strum::Display;
 
 /// Microseconds.
@@ -35,62 +35,62 @@
 
 /// A broken rule with what was seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Micros,
-    pub what: String,
+    pub description: String,
 }
 
-/// Bounds that the rules name.
+/// Limits that the rules name.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct Limits {
     /// After so long what was accepted or read is there for everybody.
-    pub settle: Micros,
+    pub visibility_delay: Micros,
     /// After the acknowledgement of an end nothing runs any more after so long.
-    pub cancel: Micros,
+    pub cancellation_grace: Micros,
     /// Tokens of a tenant that may be queued (0: any number), overage included.
-    pub most_queued: u64,
+    pub max_queued_tokens: u64,
 }
 
 /// What a reader got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PageSeen {
+pub struct ResultPage {
     pub start: usize,
     pub total: usize,
-    pub results: Vec<Listed>,
+    pub results: Vec<ListedResult>,
 }
 
 /// The judge.
 #[derive(Clone, Debug)]
-pub struct BatchJudge {
-    bounds: Bounds,
+pub struct BatchJobChecker {
+    bounds: Limits,
     jobs: BTreeMap<String, JobSeen>,
     /// By item, the batch job that it belongs to.
     items: BTreeMap<String, String>,
-    pub broken: Vec<Broken>,
-    pub reads: u64,
+    pub violations: Vec<Violation>,
+    pub pages_read: u64,
 }
 
-impl BatchJudge {
-    pub fn new(bounds: Bounds) -> Self {
-        Self { bounds, jobs: BTreeMap::new(), items: BTreeMap::new(), broken: Vec::new(), reads: 0 }
+impl BatchJobChecker {
+    pub fn new(bounds: Limits) -> Self {
+        Self { bounds, jobs: BTreeMap::new(), items: BTreeMap::new(), violations: Vec::new(), pages_read: 0 }
     }
 
     fn blame(&mut self, rule: Rule, at: Micros, what: impl Into<String>) {
-        self.broken.push(Broken { rule, at, what: what.into() });
+        self.violations.push(Violation { rule, at, description: what.into() });
     }
 
     /// A batch job is sent, perhaps once more.
-    pub fn sent(&mut self, job: &SentJob) {
+    pub fn record_submission(&mut self, job: &SubmittedJob) {
         for item in &job.items {
             self.items.insert(item.id.clone(), job.id.clone());
         }
-        let most = self.bounds.most_queued;
+        let most = self.bounds.max_queued_tokens;
         self.jobs.entry(job.id.clone()).or_insert_with(|| JobSeen::new(job.clone(), most));
     }
 
     /// A client got the 202 of a batch job.
-    pub fn accepted(&mut self, at: Micros, job: &str) {
+    pub fn record_acceptance(&mut self, at: Micros, job: &str) {
         let Some(seen) = self.jobs.get_mut(job) else { return };
         if seen.given_up.is_some() {
             if !seen.listed.is_empty() {
@@ -108,7 +108,7 @@
         let queued: u64 =
             self.jobs.values().filter(|seen| seen.sent.tenant == tenant).map(JobSeen::queued).sum();
         // A batch job is measured by the quota as it was when it was first sent, if that was higher.
-        let most = self.bounds.most_queued.max(self.jobs.get(job).map_or(0, |seen| seen.most_queued));
+        let most = self.bounds.max_queued_tokens.max(self.jobs.get(job).map_or(0, |seen| seen.most_queued));
         if !again && most > 0 && queued > most {
             self.blame(
                 Rule::Quota,
@@ -119,61 +119,61 @@
     }
 
     /// A client asks for the end of a batch job.
-    pub fn end_asked(&mut self, job: &str) {
+    pub fn record_cancel_request(&mut self, job: &str) {
         if let Some(seen) = self.jobs.get_mut(job) {
             seen.end_asked = true;
         }
     }
 
     /// The end of a batch job is acknowledged.
-    pub fn ended(&mut self, at: Micros, job: &str) {
+    pub fn record_cancelled(&mut self, at: Micros, job: &str) {
         if let Some(seen) = self.jobs.get_mut(job) {
             seen.ended = seen.ended.or(Some(at));
         }
     }
 
     /// A server begins an item.
-    pub fn began(&mut self, at: Micros, item: &str) {
+    pub fn record_item_start(&mut self, at: Micros, item: &str) {
         let Some(job) = self.items.get(item) else {
             return self.blame(Rule::Unasked, at, format!("{item} was never sent"));
         };
         let Some(seen) = self.jobs.get(job) else { return };
-        if seen.ended.is_some_and(|ended| at > ended + self.bounds.cancel) {
+        if seen.ended.is_some_and(|ended| at > ended + self.bounds.cancellation_grace) {
             self.blame(Rule::Unasked, at, format!("{item} runs, its batch job was ended"));
         }
     }
 
     /// A server has done an item whole, with this text.
-    pub fn done(&mut self, item: &str, text: &str) {
+    pub fn record_item_output(&mut self, item: &str, text: &str) {
         if let Some(seen) = self.items.get(item).and_then(|job| self.jobs.get_mut(job)) {
             seen.outputs.entry(item.to_owned()).or_default().push(text.to_owned());
         }
     }
 
     /// A reader that asked at `asked` got a page.
-    pub fn read(&mut self, asked: Micros, at: Micros, job: &str, page: &PageSeen, reader: &str) {
-        self.reads += 1;
+    pub fn check_page(&mut self, asked: Micros, at: Micros, job: &str, page: &ResultPage, reader: &str) {
+        self.pages_read += 1;
         let Some(seen) = self.jobs.get_mut(job) else { return };
-        let settle = self.bounds.settle;
-        let broken = seen.take_page(asked, at, page, settle);
+        let visibility_delay = self.bounds.visibility_delay;
+        let broken = seen.take_page(asked, at, page, visibility_delay);
         for (rule, what) in broken {
             self.blame(rule, at, format!("{job}: {what} (through {reader})"));
         }
     }
 
     /// Tokens of a tenant that may be queued.
-    pub fn most_queued(&self) -> u64 {
-        self.bounds.most_queued
+    pub fn max_queued_tokens(&self) -> u64 {
+        self.bounds.max_queued_tokens
     }
 
     /// Another quota is in force.
-    pub fn set_most_queued(&mut self, most_queued: u64) {
-        self.bounds.most_queued = most_queued;
+    pub fn set_max_queued_tokens(&mut self, max_queued_tokens: u64) {
+        self.bounds.max_queued_tokens = max_queued_tokens;
     }
 
     /// An operator gives up all batch jobs of a tenant that were accepted by now. Those of which the tier does not know the names any more
     /// are judged no longer: nobody promises anything of them. Gives how many these are.
-    pub fn give_up(&mut self, at: Micros, tenant: &str, names: &BTreeSet<String>) -> usize {
+    pub fn record_give_up(&mut self, at: Micros, tenant: &str, names: &BTreeSet<String>) -> usize {
         let before = self.jobs.len();
         let is_judged = |id: &String, seen: &mut JobSeen| {
             seen.sent.tenant != tenant
@@ -191,23 +191,23 @@
     }
 
     /// Something was given up that must not be.
-    pub fn blame_giving_up(&mut self, at: Micros, what: String) {
+    pub fn record_wrongful_give_up(&mut self, at: Micros, what: String) {
         self.blame(Rule::GivenUp, at, what);
     }
 
     /// A reader that asked at `asked` was told that a batch job was given up.
-    pub fn told_given_up(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
+    pub fn check_reported_given_up(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
         let Some(seen) = self.jobs.get(job) else { return };
-        let is_there = seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.settle);
+        let is_there = seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.visibility_delay);
         if is_there && seen.given_up.is_none() {
             self.blame(Rule::GivenUp, at, format!("{job} is told to be given up (through {reader})"));
         }
     }
 
     /// A reader that asked at `asked` got 404 for a batch job.
-    pub fn not_found(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
+    pub fn check_not_found(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
         let Some(seen) = self.jobs.get(job) else { return };
-        if seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.settle) {
+        if seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.visibility_delay) {
             self.blame(Rule::Lost, at, format!("{job} is not found (through {reader})"));
         }
     }
@@ -218,12 +218,12 @@
     }
 
     /// Of an accepted batch job: how many items it has, whether its end was asked for.
-    pub fn is_finished(&self, job: &str) -> bool {
+    pub fn is_complete(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(|seen| seen.end_asked || seen.listed.len() == seen.sent.items.len())
     }
 
     /// Nothing may be asked of the tier any more: what is open must be finished.
-    pub fn close(&mut self, at: Micros) {
+    pub fn check_completeness(&mut self, at: Micros) {
         let unfinished: Vec<String> = self
             .jobs
             .iter()
--- a/crates/batch-judge/src/seen.rs
+++ b/crates/batch-judge/src/seen.rs
@@ -2,21 +2,21 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, PageSeen, Rule};
+use crate::{Micros, ResultPage, Rule};
 
 /// An item as a client sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SentItem {
+pub struct SubmittedItem {
     pub id: String,
     pub tokens: u64,
 }
 
 /// A batch job as a client sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SentJob {
+pub struct SubmittedJob {
     pub id: String,
     pub tenant: String,
-    pub items: Vec<SentItem>,
+    pub items: Vec<SubmittedItem>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 
 /// A result as a reader got it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedResult {
     pub item: String,
     pub outcome: Outcome,
     pub text: String,
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct JobSeen {
-    pub sent: SentJob,
+    pub sent: SubmittedJob,
     /// Tokens that its tenant might have queued when it was first sent.
     pub most_queued: u64,
     pub accepted: Option<Micros>,
@@ -44,13 +44,13 @@
     /// When it was given up with all that its group held.
     pub given_up: Option<Micros>,
     /// By position, with when it was first read.
-    pub listed: BTreeMap<usize, (Listed, Micros)>,
+    pub listed: BTreeMap<usize, (ListedResult, Micros)>,
     /// Texts of whole runs, by item.
     pub outputs: BTreeMap<String, Vec<String>>,
 }
 
 impl JobSeen {
-    pub fn new(sent: SentJob, most_queued: u64) -> Self {
+    pub fn new(sent: SubmittedJob, most_queued: u64) -> Self {
         Self {
             sent,
             most_queued,
@@ -77,7 +77,7 @@
         &mut self,
         asked: Micros,
         at: Micros,
-        page: &PageSeen,
+        page: &ResultPage,
         settle: Micros,
     ) -> Vec<(Rule, String)> {
         let mut broken = Vec::new();
@@ -97,7 +97,7 @@
         broken
     }
 
-    fn take_result(&mut self, at: Micros, position: usize, result: &Listed) -> Option<(Rule, String)> {
+    fn take_result(&mut self, at: Micros, position: usize, result: &ListedResult) -> Option<(Rule, String)> {
         if !self.sent.items.iter().any(|item| item.id == result.item) {
             return Some((
                 Rule::Mixed,
--- a/crates/simulation/src/stores/client.rs
+++ b/crates/simulation/src/stores/client.rs
@@ -1,7 +1,7 @@
 //! Clients: what each of them does, and what they send and get.
 
 use fennelgauge_batch::{Item, ItemOutcome, Job, Page};
-use fennelgauge_batch_judge::{Listed, Outcome, PageSeen, SentItem, SentJob};
+use fennelgauge_batch_judge::{ListedResult, Outcome, ResultPage, SubmittedItem, SubmittedJob};
 use fennelgauge_coordination::GroupNumber;
 
 use crate::chance::Chance;
@@ -75,13 +75,17 @@
     job.split('-').nth(1).and_then(|tenant| tenant.parse().ok()).unwrap_or(0)
 }
 
-pub fn sent(job: &Job) -> SentJob {
-    let item = |item: &Item| SentItem { id: item.id.clone(), tokens: item.tokens };
-    SentJob { id: job.id.clone(), tenant: job.tenant.clone(), items: job.items.iter().map(item).collect() }
+pub fn sent(job: &Job) -> SubmittedJob {
+    let item = |item: &Item| SubmittedItem { id: item.id.clone(), tokens: item.tokens };
+    SubmittedJob {
+        id: job.id.clone(),
+        tenant: job.tenant.clone(),
+        items: job.items.iter().map(item).collect(),
+    }
 }
 
-pub fn page_seen(start: u32, page: &Page) -> PageSeen {
-    let listed = |(id, result): &(String, fennelgauge_batch::ItemResult)| Listed {
+pub fn page_seen(start: u32, page: &Page) -> ResultPage {
+    let listed = |(id, result): &(String, fennelgauge_batch::ItemResult)| ListedResult {
         item: id.clone(),
         outcome: match result.outcome {
             ItemOutcome::Succeeded => Outcome::Succeeded,
@@ -89,7 +93,7 @@
         },
         text: result.text.clone(),
     };
-    PageSeen {
+    ResultPage {
         start: start as usize,
         total: page.total_items as usize,
         results: page.results.iter().map(listed).collect(),
--- a/crates/simulation/src/stores/placing.rs
+++ b/crates/simulation/src/stores/placing.rs
@@ -77,8 +77,8 @@
     /// A quota changes: data planes know it sooner or later, within the time in which a configuration is everywhere.
     pub fn change_quota(&mut self, most: u64) {
         // Any quota that may still be in force somewhere counts.
-        let before = self.judge.most_queued();
-        self.judge.set_most_queued(with_overage(most).max(before));
+        let before = self.judge.max_queued_tokens();
+        self.judge.set_max_queued_tokens(with_overage(most).max(before));
         self.quota = most;
         for plane in 0..self.planes.len() {
             let at = self.now + self.chance.between(0, CONVERGE);
--- a/crates/simulation/src/stores/strikes.rs
+++ b/crates/simulation/src/stores/strikes.rs
@@ -262,13 +262,16 @@
             self.print(|| format!("--- group {} is given up: {holders:?}", group.0));
             let now = self.now;
             if heard {
-                self.judge.blame_giving_up(now, format!("group {} is given up, a holder is heard", group.0));
+                self.judge.record_wrongful_give_up(
+                    now,
+                    format!("group {} is given up, a holder is heard", group.0),
+                );
             }
             let names = view
                 .group(group)
                 .map(|group| group.given_up_jobs.iter().cloned().collect())
                 .unwrap_or_default();
-            self.forgotten += self.judge.give_up(now, &tenant_name(tenant), &names) as u64;
+            self.forgotten += self.judge.record_give_up(now, &tenant_name(tenant), &names) as u64;
             self.spread(&view);
         }
     }
--- a/crates/simulation/src/stores/turns.rs
+++ b/crates/simulation/src/stores/turns.rs
@@ -47,7 +47,7 @@
                 }
                 let job = job.clone()?;
                 *tries += 1;
-                self.judge.sent(&sent(&job));
+                self.judge.record_submission(&sent(&job));
                 let group = group_of(*tenant);
                 let to = view.head(group).map(|head| head.member.peer);
                 let most_queued = self.planes[client.plane].most_queued;
@@ -59,7 +59,7 @@
                     *job = self.to_end.pop();
                 }
                 let job = job.clone()?;
-                self.judge.end_asked(&job);
+                self.judge.record_cancel_request(&job);
                 let group = group_of(tenant_of(&job));
                 let to = view.head(group).map(|head| head.member.peer);
                 let tenant = tenant_name(tenant_of(&job));
@@ -126,22 +126,22 @@
             (Duty::Submit { job, tries, .. }, _) if *tries > MOST_TRIES => *job = None,
             (Duty::End { job }, Some(Answer::Accepted)) => {
                 if let Some(job) = job.take() {
-                    self.judge.ended(self.now, &job);
+                    self.judge.record_cancelled(self.now, &job);
                 }
             }
             (Duty::Read { job: Some((job, start)) }, Some(Answer::Page(page))) => {
-                self.judge.read(asked, self.now, job, &page_seen(*start, &page), &reader);
+                self.judge.check_page(asked, self.now, job, &page_seen(*start, &page), &reader);
                 if self.is_sweeping() && *start == 0 {
                     self.swept.insert(job.clone());
                 }
                 pause = self.chance.between(READ_EVERY.0, READ_EVERY.1);
             }
             (Duty::Read { job: Some((job, _)) }, Some(Answer::GivenUp)) => {
-                self.judge.told_given_up(asked, self.now, job, &reader);
+                self.judge.check_reported_given_up(asked, self.now, job, &reader);
                 self.swept.insert(job.clone());
             }
             (Duty::Read { job: Some((job, _)) }, Some(Answer::NotFound)) => {
-                self.judge.not_found(asked, self.now, job, &reader);
+                self.judge.check_not_found(asked, self.now, job, &reader);
             }
             _ => {}
         }
@@ -155,7 +155,7 @@
 
     fn accepted(&mut self, job: &str) {
         self.acceptances += 1;
-        self.judge.accepted(self.now, job);
+        self.judge.record_acceptance(self.now, job);
         if self.chance.in_thousand(120) && !self.is_sweeping() {
             self.to_end.push(job.to_owned());
         }
--- a/crates/simulation/src/stores/world.rs
+++ b/crates/simulation/src/stores/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use fennelgauge_batch_judge::{BatchJudge, Bounds, Broken, Rule};
+use fennelgauge_batch_judge::{BatchJobChecker, Limits, Rule, Violation};
 use fennelgauge_coordination::{StoreReport, StoreView};
 
 use super::client::{group_of, with_overage, Client, Duty, CLIENT_PATIENCE, MOST_QUEUED};
@@ -40,7 +40,7 @@
 /// What came of a day.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoresPlayed {
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     pub acceptances: u64,
     pub reads: u64,
     pub views: u64,
@@ -165,7 +165,7 @@
     pub core: SimCore,
     pub planes: Vec<Plane>,
     pub clients: Vec<Client>,
-    pub judge: BatchJudge,
+    pub judge: BatchJobChecker,
     pub traps: Vec<Trap>,
     pub aimed: Vec<Aimed>,
     /// Entries that the next learners find more.
@@ -200,7 +200,11 @@
             Some(StorePlant::Planner(bug)) => Some(bug),
             _ => None,
         };
-        let bounds = Bounds { settle: SETTLE, cancel: CANCEL, most_queued: with_overage(MOST_QUEUED) };
+        let bounds = Limits {
+            visibility_delay: SETTLE,
+            cancellation_grace: CANCEL,
+            max_queued_tokens: with_overage(MOST_QUEUED),
+        };
         let mut world = Self {
             day,
             plant,
@@ -216,7 +220,7 @@
             core: SimCore::new(day.losses, planted),
             planes: (0..PLANES).map(|_| Plane { most_queued: MOST_QUEUED, ..Plane::default() }).collect(),
             clients: Vec::new(),
-            judge: BatchJudge::new(bounds),
+            judge: BatchJobChecker::new(bounds),
             traps: Vec::new(),
             aimed: Vec::new(),
             behind: Vec::new(),
@@ -298,7 +302,7 @@
 
     fn run(mut self) -> StoresPlayed {
         while let Some(((at, _), event)) = self.queue.pop_first() {
-            if at > self.ends_at() || self.judge.broken.len() >= ENOUGH {
+            if at > self.ends_at() || self.judge.violations.len() >= ENOUGH {
                 break;
             }
             self.now = at;
@@ -306,9 +310,9 @@
         }
         self.finish();
         StoresPlayed {
-            broken: self.judge.broken,
+            broken: self.judge.violations,
             acceptances: self.acceptances,
-            reads: self.judge.reads,
+            reads: self.judge.pages_read,
             views: self.views,
             shown_dropped: self.shown_dropped,
             trace: self.trace,
@@ -322,10 +326,10 @@
         for job in self.judge.accepted_jobs() {
             if !self.swept.contains(&job) && now >= self.ends_at().saturating_sub(SECOND) {
                 let what = format!("{job} cannot be read in the end");
-                self.judge.broken.push(Broken { rule: Rule::Lost, at: now, what });
+                self.judge.violations.push(Violation { rule: Rule::Lost, at: now, description: what });
             }
         }
-        self.judge.close(now);
+        self.judge.check_completeness(now);
     }
 
     fn mix(&mut self, value: u64) {
@@ -377,7 +381,7 @@
             Event::Operator => self.operator(),
             Event::QuotaInForce { most } => {
                 if most == self.quota {
-                    self.judge.set_most_queued(with_overage(most));
+                    self.judge.set_max_queued_tokens(with_overage(most));
                 }
             }
             // One that was overtaken by a later one is not taken.
@@ -453,10 +457,10 @@
             Effect::Flush { at } => self.at(at, Event::Flush { store, life }),
             Effect::Began { item } => {
                 self.print(|| format!("s{store} has {item} run"));
-                self.judge.began(self.now, &item);
+                self.judge.record_item_start(self.now, &item);
             }
             Effect::Done { item, text } => {
-                self.judge.done(&item, &text);
+                self.judge.record_item_output(&item, &text);
                 self.costs.done(self.now, &item);
             }
             Effect::Listed { item } => self.costs.listed(self.now, &item),
--- a/crates/simulation/src/stores_command.rs
+++ b/crates/simulation/src/stores_command.rs
@@ -151,7 +151,7 @@
         played.acceptances, played.reads, played.views, played.trace
     );
     for broken in played.broken.iter().take(8) {
-        println!("  BROKEN {} at {} ms: {}", broken.rule, broken.at / 1_000, broken.what);
+        println!("  BROKEN {} at {} ms: {}", broken.rule, broken.at / 1_000, broken.description);
     }
 }
 
--- a/crates/soak/src/batch_client.rs
+++ b/crates/soak/src/batch_client.rs
@@ -6,7 +6,7 @@
 use awc::http::Method;
 use awc::Client;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use fennelgauge_batch_judge::{Listed, Outcome, PageSeen, SentItem, SentJob};
+use fennelgauge_batch_judge::{ListedResult, Outcome, ResultPage, SubmittedItem, SubmittedJob};
 use serde::Deserialize;
 use serde_json::json;
 use tokio::time::{sleep, Instant};
@@ -46,11 +46,11 @@
 pub async fn submit(world: Rc<World>, tenant: u8) {
     while world.phase.get() <= Phase::Troubled {
         let id = format!("job-{tenant}-{}", world.number());
-        let items: Vec<SentItem> = (0..fastrand::u8(1..=MOST_ITEMS))
-            .map(|place| SentItem { id: format!("{id}-{place}"), tokens: TOKENS })
+        let items: Vec<SubmittedItem> = (0..fastrand::u8(1..=MOST_ITEMS))
+            .map(|place| SubmittedItem { id: format!("{id}-{place}"), tokens: TOKENS })
             .collect();
-        let job = SentJob { id: id.clone(), tenant: World::tenant(tenant), items };
-        world.judge.borrow_mut().sent(&job);
+        let job = SubmittedJob { id: id.clone(), tenant: World::tenant(tenant), items };
+        world.judge.borrow_mut().record_submission(&job);
         if submitted(&world, &job).await && fastrand::u8(0..8) == 0 {
             world.to_end.borrow_mut().push(id);
         } else if fastrand::u8(0..6) == 0 {
@@ -62,8 +62,8 @@
 }
 
 /// Offers a batch job until it is taken or clearly refused; true if it was taken.
-async fn submitted(world: &Rc<World>, job: &SentJob) -> bool {
-    let body = |item: &SentItem| {
+async fn submitted(world: &Rc<World>, job: &SubmittedJob) -> bool {
+    let body = |item: &SubmittedItem| {
         json!({ "id": item.id, "path": "/batch/run/slow/x", "headers": {}, "tokens": item.tokens,
                 "body": BASE64_STANDARD.encode(&item.id) })
     };
@@ -78,7 +78,7 @@
             .insert_header(("X-Fennelgauge-Request-Deadline", "4000"));
         match send(call, body.clone()).await.map(|answer| answer.status) {
             Ok(202) => {
-                world.judge.borrow_mut().accepted(world.events.now(), &job.id);
+                world.judge.borrow_mut().record_acceptance(world.events.now(), &job.id);
                 return true;
             }
             Ok(status @ 400..=499) if status != 408 && status != 421 => {
@@ -98,14 +98,14 @@
     while world.phase.get() <= Phase::Recovering {
         sleep(AGAIN).await;
         let Some(job) = world.to_end.borrow_mut().pop() else { continue };
-        world.judge.borrow_mut().end_asked(&job);
+        world.judge.borrow_mut().record_cancel_request(&job);
         let (path, key) = (format!("/-/lots/{job}"), World::key(tenant_of(&job)));
         while world.phase.get() <= Phase::Recovering {
             let to = To { address: world.tier.front_address(any_front(&world)), path: &path, key: &key };
             let call = request(&Client::default(), Method::DELETE, &to, SUBMIT_WITHIN).force_close();
             match send(call, Vec::new()).await.map(|answer| answer.status) {
                 Ok(200) => {
-                    world.judge.borrow_mut().ended(world.events.now(), &job);
+                    world.judge.borrow_mut().record_cancelled(world.events.now(), &job);
                     break;
                 }
                 _ => sleep(AGAIN).await,
@@ -138,7 +138,7 @@
     match answer.status {
         200 => match serde_json::from_slice::<PageBody>(&answer.body) {
             Ok(page) => {
-                world.judge.borrow_mut().read(asked, now, job, &seen(start, page), &reader);
+                world.judge.borrow_mut().check_page(asked, now, job, &seen(start, page), &reader);
                 true
             }
             Err(reason) => {
@@ -147,15 +147,15 @@
             }
         },
         404 => {
-            world.judge.borrow_mut().not_found(asked, now, job, &reader);
+            world.judge.borrow_mut().check_not_found(asked, now, job, &reader);
             false
         }
         _ => false,
     }
 }
 
-fn seen(start: usize, page: PageBody) -> PageSeen {
-    let listed = |result: ResultBody| Listed {
+fn seen(start: usize, page: PageBody) -> ResultPage {
+    let listed = |result: ResultBody| ListedResult {
         item: result.id,
         outcome: match result.state.as_str() {
             "succeeded" => Outcome::Succeeded,
@@ -163,7 +163,7 @@
         },
         text: result.text,
     };
-    PageSeen { start, total: page.total, results: page.results.into_iter().map(listed).collect() }
+    ResultPage { start, total: page.total, results: page.results.into_iter().map(listed).collect() }
 }
 
 /// Reads a batch job from its start until it answers whole, or the time is up.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -184,7 +184,7 @@
             told = Instant::now();
             let (jobs, reads) = {
                 let judge = world.judge.borrow();
-                (judge.accepted_jobs().len(), judge.reads)
+                (judge.accepted_jobs().len(), judge.pages_read)
             };
             eprintln!(
                 "  {:?}: {jobs} batch jobs, {reads} pages, {} live answers",
@@ -201,7 +201,7 @@
     while Instant::now() < until {
         let open = {
             let judge = world.judge.borrow();
-            judge.accepted_jobs().into_iter().find(|job| !judge.is_finished(job))
+            judge.accepted_jobs().into_iter().find(|job| !judge.is_complete(job))
         };
         match open {
             Some(job) => {
@@ -230,7 +230,7 @@
         world.events.note(format_args!("{left} of {all} batch jobs were not asked for in the end"));
     }
     let now = world.events.now();
-    world.judge.borrow_mut().close(now);
+    world.judge.borrow_mut().check_completeness(now);
     let newest = world.acknowledged.get();
     for front in 0..world.plan.data_planes {
         if newest >= 2 && has_route(world, front, newest).await == Some(false) {
@@ -257,11 +257,11 @@
 
 async fn ended(world: &World, seed: u64, troubles: usize, folder: &Path) -> SeedResult {
     let mut faults = world.faults.borrow().clone();
-    let broken = world.judge.borrow().broken.clone();
+    let broken = world.judge.borrow().violations.clone();
     faults.extend(broken.iter().map(|broken| Fault {
         rule: broken.rule.to_string(),
         at_s: broken.at as f64 / 1_000_000.0,
-        what: broken.what.clone(),
+        what: broken.description.clone(),
     }));
     let mut starts = 0;
     for process in &world.processes {
@@ -280,7 +280,7 @@
         starts,
         seconds: world.events.now() as f64 / 1_000_000.0,
         jobs_accepted: judge.accepted_jobs().len(),
-        pages_read: judge.reads,
+        pages_read: judge.pages_read,
         live_answers: world.live_answers.get(),
         live_refused: world.live_refused.borrow().len() as u64,
         jobs_not_read: world.not_read.get(),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_batch_judge::{BatchJudge, Bounds};
+use fennelgauge_batch_judge::{BatchJobChecker, Limits};
 use fennelgauge_standins::{Observer, Platform, Tier};
 use serde_json::{json, Value};
 use tokio::sync::Mutex;
@@ -44,7 +44,7 @@
     pub events: Events,
     pub platform: Rc<Platform>,
     pub processes: Vec<Mutex<Process>>,
-    pub judge: RefCell<BatchJudge>,
+    pub judge: RefCell<BatchJobChecker>,
     pub faults: RefCell<Vec<Fault>>,
     pub phase: Cell<Phase>,
     /// Until when, in microseconds, some process is in unplanned trouble.
@@ -78,7 +78,11 @@
     ) -> Self {
         let processes =
             targets(&plan).into_iter().map(|target| Mutex::new(Process::new(&tier, target))).collect();
-        let bounds = Bounds { settle: SETTLE_US, cancel: CANCEL_US, most_queued: MOST_QUEUED };
+        let bounds = Limits {
+            visibility_delay: SETTLE_US,
+            cancellation_grace: CANCEL_US,
+            max_queued_tokens: MOST_QUEUED,
+        };
         Self {
             plan,
             tier,
@@ -86,7 +90,7 @@
             events,
             platform,
             processes,
-            judge: RefCell::new(BatchJudge::new(bounds)),
+            judge: RefCell::new(BatchJobChecker::new(bounds)),
             faults: RefCell::default(),
             phase: Cell::new(Phase::Starting),
             unplanned_until: Cell::new(0),
@@ -199,7 +203,7 @@
         let now = self.world.events.now();
         // A store that was frozen or just killed is not in touch: what it sends late does not count.
         if self.world.only_planned_since(now) {
-            self.world.judge.borrow_mut().began(now, id);
+            self.world.judge.borrow_mut().record_item_start(now, id);
         }
     }
 
@@ -216,7 +220,7 @@
             }
         };
         for run in &whole {
-            self.world.judge.borrow_mut().done(id, &run.join("\n"));
+            self.world.judge.borrow_mut().record_item_output(id, &run.join("\n"));
         }
         earlier.append(&mut whole);
     }
