--- a/crates/batch-judge/src/lib.rs
+++ b/crates/batch-judge/src/lib.rs
@@ -1,240 +1,285 @@
-//! The users' rules of batch jobs, judged by what clients and servers saw. It knows nothing of how the tier works; the simulator
-//! and the soak hand it the same events. Times are microseconds of whatever clock the caller has.
+//! Checks the guarantees that the tier gives for batch jobs against the requests and responses that clients and servers observed.
+//!
+//! The checker knows nothing of how the tier is implemented. The simulator and the soak test both feed it the same events. All
+//! times are microseconds of a clock that the caller chooses.
 
 mod seen;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use seen::JobSeen;
+use seen::ObservedJob;
 pub use seen::{ListedResult, Outcome, SubmittedItem, SubmittedJob};
 use strum::Display;
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// A rule that was broken; the names are the users'.
+/// A guarantee of batch jobs that can be violated. It is printed in upper case, like `GIVEN_UP`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[strum(serialize_all = "SCREAMING_SNAKE_CASE")]
 pub enum Rule {
-    /// What was accepted or read is not there.
+    /// A job that was accepted, or a result that was read, can no longer be read.
     Lost,
-    /// A position holds another result than before, or an item stands at two.
+    /// A position of the result list shows another result than before, or one item is listed at two positions.
     Twice,
-    /// A wrong total, a foreign item, a text that no run gave.
+    /// A page has a wrong total, a result of an item that is not in the job, or a text that no server produced for the item.
     Mixed,
-    /// More tokens are queued than allowed at a 202.
+    /// A job was accepted although its tenant then had more queued tokens than its quota allows.
     Quota,
-    /// An item runs though its batch job was ended.
+    /// A server started an item of a cancelled job, or an item that no client submitted.
     Unasked,
-    /// An item of an open batch job is not listed in the end.
+    /// At the end of the run, an item of an accepted job that was neither cancelled nor given up has no result.
     Unfinished,
-    /// What an operator gave up is shown again, or what nobody gave up is told to be.
+    /// A job whose data an operator gave up is shown again, a job is reported as given up that was not, or data was given up that
+    /// must not be.
     GivenUp,
 }
 
-/// A broken rule with what was seen.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
+    /// The time at which the violation was observed.
     pub at: Micros,
+    /// The job or item concerned, and what was observed.
     pub description: String,
 }
 
-/// Limits that the rules name.
+/// Time limits and quota that the rules refer to.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// After so long what was accepted or read is there for everybody.
+    /// Time after which an accepted job or a result that was read once must be visible to every reader.
     pub visibility_delay: Micros,
-    /// After the acknowledgement of an end nothing runs any more after so long.
+    /// Time after an acknowledged cancellation during which items of the job may still start.
     pub cancellation_grace: Micros,
-    /// Tokens of a tenant that may be queued (0: any number), overage included.
+    /// Maximum number of queued tokens per tenant, including the permitted overage; 0 means no limit.
     pub max_queued_tokens: u64,
 }
 
-/// What a reader got.
+/// A page of a job's result list, as a reader received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultPage {
+    /// Position of the first result of the page in the job's result list.
     pub start: usize,
+    /// Number of items in the job, according to the page.
     pub total: usize,
     pub results: Vec<ListedResult>,
 }
 
-/// The judge.
+/// Records what clients and servers observe of batch jobs, and collects violations of the rules.
 #[derive(Clone, Debug)]
 pub struct BatchJobChecker {
-    bounds: Limits,
-    jobs: BTreeMap<String, JobSeen>,
-    /// By item, the batch job that it belongs to.
+    limits: Limits,
+    jobs: BTreeMap<String, ObservedJob>,
+    /// The id of the job that each item belongs to, by item id.
     items: BTreeMap<String, String>,
+    /// All violations found so far, in the order in which they were found.
     pub violations: Vec<Violation>,
+    /// Number of result pages that were checked.
     pub pages_read: u64,
 }
 
 impl BatchJobChecker {
-    pub fn new(bounds: Limits) -> Self {
-        Self { bounds, jobs: BTreeMap::new(), items: BTreeMap::new(), violations: Vec::new(), pages_read: 0 }
+    /// Creates a checker that has observed nothing yet.
+    pub fn new(limits: Limits) -> Self {
+        Self { limits, jobs: BTreeMap::new(), items: BTreeMap::new(), violations: Vec::new(), pages_read: 0 }
     }
 
-    fn blame(&mut self, rule: Rule, at: Micros, what: impl Into<String>) {
-        self.violations.push(Violation { rule, at, description: what.into() });
+    fn report(&mut self, rule: Rule, at: Micros, description: impl Into<String>) {
+        self.violations.push(Violation { rule, at, description: description.into() });
     }
 
-    /// A batch job is sent, perhaps once more.
+    /// Records that a client submits a job; a repeated submission of the same job changes nothing.
     pub fn record_submission(&mut self, job: &SubmittedJob) {
         for item in &job.items {
             self.items.insert(item.id.clone(), job.id.clone());
         }
-        let most = self.bounds.max_queued_tokens;
-        self.jobs.entry(job.id.clone()).or_insert_with(|| JobSeen::new(job.clone(), most));
+        let max_queued_tokens = self.limits.max_queued_tokens;
+        self.jobs.entry(job.id.clone()).or_insert_with(|| ObservedJob::new(job.clone(), max_queued_tokens));
     }
 
-    /// A client got the 202 of a batch job.
+    /// Records that a client received status 202 for a job, and checks the tenant's quota at its first acceptance.
     pub fn record_acceptance(&mut self, at: Micros, job: &str) {
-        let Some(seen) = self.jobs.get_mut(job) else { return };
-        if seen.given_up.is_some() {
-            if !seen.listed.is_empty() {
-                return self.blame(
+        let Some(observed) = self.jobs.get_mut(job) else { return };
+        if observed.given_up.is_some() {
+            if !observed.listed.is_empty() {
+                return self.report(
                     Rule::GivenUp,
                     at,
-                    format!("{job} is accepted again, its results were read"),
+                    format!(
+                        "{job} is accepted again after it was given up, although its results had been read"
+                    ),
                 );
             }
-            // Nobody has read of it: it may as well be a new one.
-            (seen.given_up, seen.accepted) = (None, None);
+            // No result of the given-up job was ever read, so the tier may treat the submission as a new job.
+            (observed.given_up, observed.accepted) = (None, None);
         }
-        let again = seen.accepted.replace(seen.accepted.unwrap_or(at)).is_some();
-        let tenant = seen.sent.tenant.clone();
-        let queued: u64 =
-            self.jobs.values().filter(|seen| seen.sent.tenant == tenant).map(JobSeen::queued).sum();
-        // A batch job is measured by the quota as it was when it was first sent, if that was higher.
-        let most = self.bounds.max_queued_tokens.max(self.jobs.get(job).map_or(0, |seen| seen.most_queued));
-        if !again && most > 0 && queued > most {
-            self.blame(
+        let again = observed.accepted.replace(observed.accepted.unwrap_or(at)).is_some();
+        let tenant = observed.submitted.tenant.clone();
+        let queued: u64 = self
+            .jobs
+            .values()
+            .filter(|observed| observed.submitted.tenant == tenant)
+            .map(ObservedJob::queued_tokens)
+            .sum();
+        // If the quota was lowered since the job was first submitted, the quota of that time applies.
+        let max_queued_tokens = self
+            .limits
+            .max_queued_tokens
+            .max(self.jobs.get(job).map_or(0, |observed| observed.max_queued_tokens));
+        if !again && max_queued_tokens > 0 && queued > max_queued_tokens {
+            self.report(
                 Rule::Quota,
                 at,
-                format!("{job}: {queued} tokens of {tenant} are queued, {most} may be"),
+                format!("{job}: {queued} tokens of {tenant} are queued, the limit is {max_queued_tokens}"),
             );
         }
     }
 
-    /// A client asks for the end of a batch job.
+    /// Records that a client requests the cancellation of a job.
     pub fn record_cancel_request(&mut self, job: &str) {
-        if let Some(seen) = self.jobs.get_mut(job) {
-            seen.end_asked = true;
+        if let Some(observed) = self.jobs.get_mut(job) {
+            observed.cancel_requested = true;
         }
     }
 
-    /// The end of a batch job is acknowledged.
+    /// Records that the tier acknowledged the cancellation of a job. The first acknowledgement counts.
     pub fn record_cancelled(&mut self, at: Micros, job: &str) {
-        if let Some(seen) = self.jobs.get_mut(job) {
-            seen.ended = seen.ended.or(Some(at));
+        if let Some(observed) = self.jobs.get_mut(job) {
+            observed.cancelled = observed.cancelled.or(Some(at));
         }
     }
 
-    /// A server begins an item.
+    /// Records that a server starts an item, and checks that the item may run.
     pub fn record_item_start(&mut self, at: Micros, item: &str) {
         let Some(job) = self.items.get(item) else {
-            return self.blame(Rule::Unasked, at, format!("{item} was never sent"));
+            return self.report(Rule::Unasked, at, format!("{item} starts, but no client submitted it"));
         };
-        let Some(seen) = self.jobs.get(job) else { return };
-        if seen.ended.is_some_and(|ended| at > ended + self.bounds.cancellation_grace) {
-            self.blame(Rule::Unasked, at, format!("{item} runs, its batch job was ended"));
+        let Some(observed) = self.jobs.get(job) else { return };
+        if observed.cancelled.is_some_and(|cancelled| at > cancelled + self.limits.cancellation_grace) {
+            self.report(Rule::Unasked, at, format!("{item} starts although its batch job was cancelled"));
         }
     }
 
-    /// A server has done an item whole, with this text.
+    /// Records that a server completed an item with this text. An item may be run more than once.
     pub fn record_item_output(&mut self, item: &str, text: &str) {
-        if let Some(seen) = self.items.get(item).and_then(|job| self.jobs.get_mut(job)) {
-            seen.outputs.entry(item.to_owned()).or_default().push(text.to_owned());
+        if let Some(observed) = self.items.get(item).and_then(|job| self.jobs.get_mut(job)) {
+            observed.outputs.entry(item.to_owned()).or_default().push(text.to_owned());
         }
     }
 
-    /// A reader that asked at `asked` got a page.
-    pub fn check_page(&mut self, asked: Micros, at: Micros, job: &str, page: &ResultPage, reader: &str) {
+    /// Checks a result page that `reader` requested at `requested_at` and received at `at`.
+    pub fn check_page(
+        &mut self,
+        requested_at: Micros,
+        at: Micros,
+        job: &str,
+        page: &ResultPage,
+        reader: &str,
+    ) {
         self.pages_read += 1;
-        let Some(seen) = self.jobs.get_mut(job) else { return };
-        let visibility_delay = self.bounds.visibility_delay;
-        let broken = seen.take_page(asked, at, page, visibility_delay);
-        for (rule, what) in broken {
-            self.blame(rule, at, format!("{job}: {what} (through {reader})"));
+        let Some(observed) = self.jobs.get_mut(job) else { return };
+        let visibility_delay = self.limits.visibility_delay;
+        let violations = observed.check_page(requested_at, at, page, visibility_delay);
+        for (rule, description) in violations {
+            self.report(rule, at, format!("{job}: {description} (through {reader})"));
         }
     }
 
-    /// Tokens of a tenant that may be queued.
+    /// Returns the maximum number of queued tokens per tenant.
     pub fn max_queued_tokens(&self) -> u64 {
-        self.bounds.max_queued_tokens
+        self.limits.max_queued_tokens
     }
 
-    /// Another quota is in force.
+    /// Sets the maximum number of queued tokens per tenant for jobs accepted from now on.
     pub fn set_max_queued_tokens(&mut self, max_queued_tokens: u64) {
-        self.bounds.max_queued_tokens = max_queued_tokens;
+        self.limits.max_queued_tokens = max_queued_tokens;
     }
 
-    /// An operator gives up all batch jobs of a tenant that were accepted by now. Those of which the tier does not know the names any more
-    /// are judged no longer: nobody promises anything of them. Gives how many these are.
-    pub fn record_give_up(&mut self, at: Micros, tenant: &str, names: &BTreeSet<String>) -> usize {
+    /// Records that an operator gives up all jobs of a tenant that were accepted so far.
+    ///
+    /// `known_jobs` are the ids of the lost jobs that the tier still knows. Accepted jobs that are not among them are no longer
+    /// checked, because the tier guarantees nothing about them. Returns the number of these jobs.
+    pub fn record_give_up(&mut self, at: Micros, tenant: &str, known_jobs: &BTreeSet<String>) -> usize {
         let before = self.jobs.len();
-        let is_judged = |id: &String, seen: &mut JobSeen| {
-            seen.sent.tenant != tenant
-                || seen.accepted.is_none()
-                || seen.given_up.is_some()
-                || names.contains(id)
+        let is_still_checked = |id: &String, observed: &mut ObservedJob| {
+            observed.submitted.tenant != tenant
+                || observed.accepted.is_none()
+                || observed.given_up.is_some()
+                || known_jobs.contains(id)
         };
-        self.jobs.retain(is_judged);
-        for seen in self.jobs.values_mut().filter(|seen| seen.sent.tenant == tenant) {
-            if seen.accepted.is_some() {
-                seen.given_up = seen.given_up.or(Some(at));
+        self.jobs.retain(is_still_checked);
+        for observed in self.jobs.values_mut().filter(|observed| observed.submitted.tenant == tenant) {
+            if observed.accepted.is_some() {
+                observed.given_up = observed.given_up.or(Some(at));
             }
         }
         before - self.jobs.len()
     }
 
-    /// Something was given up that must not be.
-    pub fn record_wrongful_give_up(&mut self, at: Micros, what: String) {
-        self.blame(Rule::GivenUp, at, what);
+    /// Records a violation: data was given up that must not be.
+    pub fn record_wrongful_give_up(&mut self, at: Micros, description: String) {
+        self.report(Rule::GivenUp, at, description);
     }
 
-    /// A reader that asked at `asked` was told that a batch job was given up.
-    pub fn check_reported_given_up(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
-        let Some(seen) = self.jobs.get(job) else { return };
-        let is_there = seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.visibility_delay);
-        if is_there && seen.given_up.is_none() {
-            self.blame(Rule::GivenUp, at, format!("{job} is told to be given up (through {reader})"));
+    /// Checks a response to a request of `requested_at` that says the job was given up.
+    pub fn check_reported_given_up(&mut self, requested_at: Micros, at: Micros, job: &str, reader: &str) {
+        let Some(observed) = self.jobs.get(job) else { return };
+        let must_be_visible =
+            observed.accepted.is_some_and(|accepted| requested_at > accepted + self.limits.visibility_delay);
+        if must_be_visible && observed.given_up.is_none() {
+            self.report(
+                Rule::GivenUp,
+                at,
+                format!("{job} is reported as given up, but was not (through {reader})"),
+            );
         }
     }
 
-    /// A reader that asked at `asked` got 404 for a batch job.
-    pub fn check_not_found(&mut self, asked: Micros, at: Micros, job: &str, reader: &str) {
-        let Some(seen) = self.jobs.get(job) else { return };
-        if seen.accepted.is_some_and(|accepted| asked > accepted + self.bounds.visibility_delay) {
-            self.blame(Rule::Lost, at, format!("{job} is not found (through {reader})"));
+    /// Checks a response to a request of `requested_at` that has status 404 for the job.
+    pub fn check_not_found(&mut self, requested_at: Micros, at: Micros, job: &str, reader: &str) {
+        let Some(observed) = self.jobs.get(job) else { return };
+        if observed.accepted.is_some_and(|accepted| requested_at > accepted + self.limits.visibility_delay) {
+            self.report(Rule::Lost, at, format!("{job} is not found (through {reader})"));
         }
     }
 
-    /// Batch jobs that were accepted.
+    /// Returns the ids of all accepted jobs.
     pub fn accepted_jobs(&self) -> Vec<String> {
-        self.jobs.iter().filter(|(_, seen)| seen.accepted.is_some()).map(|(id, _)| id.clone()).collect()
+        self.jobs
+            .iter()
+            .filter(|(_, observed)| observed.accepted.is_some())
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
-    /// Of an accepted batch job: how many items it has, whether its end was asked for.
+    /// Returns whether no more results of the job are expected: cancellation was requested, or a result of every item was read.
     pub fn is_complete(&self, job: &str) -> bool {
-        self.jobs.get(job).is_some_and(|seen| seen.end_asked || seen.listed.len() == seen.sent.items.len())
+        self.jobs.get(job).is_some_and(|observed| {
+            observed.cancel_requested || observed.listed.len() == observed.submitted.items.len()
+        })
     }
 
-    /// Nothing may be asked of the tier any more: what is open must be finished.
+    /// Checks, at the end of a run, that every accepted job that was neither cancelled nor given up has all its results.
     pub fn check_completeness(&mut self, at: Micros) {
         let unfinished: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, seen)| seen.accepted.is_some() && !seen.end_asked && seen.given_up.is_none())
-            .filter(|(_, seen)| seen.listed.len() < seen.sent.items.len())
-            .map(|(id, seen)| {
-                format!("{id}: {} of {} items are listed", seen.listed.len(), seen.sent.items.len())
+            .filter(|(_, observed)| {
+                observed.accepted.is_some() && !observed.cancel_requested && observed.given_up.is_none()
+            })
+            .filter(|(_, observed)| observed.listed.len() < observed.submitted.items.len())
+            .map(|(id, observed)| {
+                format!(
+                    "{id}: {} of {} items have a listed result",
+                    observed.listed.len(),
+                    observed.submitted.items.len()
+                )
             })
             .collect();
-        for what in unfinished {
-            self.blame(Rule::Unfinished, at, what);
+        for description in unfinished {
+            self.report(Rule::Unfinished, at, description);
         }
     }
 }
--- a/crates/batch-judge/src/seen.rs
+++ b/crates/batch-judge/src/seen.rs
@@ -1,17 +1,18 @@
-//! What was seen of one batch job.
+//! What was observed of one batch job, and the checks of its result pages.
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, ResultPage, Rule};
 
-/// An item as a client sent it.
+/// An item of a job as a client submitted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmittedItem {
     pub id: String,
+    /// Tokens that count towards the tenant's quota while the item is queued.
     pub tokens: u64,
 }
 
-/// A batch job as a client sent it.
+/// A batch job as a client submitted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmittedJob {
     pub id: String,
@@ -19,89 +20,109 @@
     pub items: Vec<SubmittedItem>,
 }
 
+/// The final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// A server completed the item.
     Succeeded,
+    /// The item failed for good and is not tried again.
     DeadLettered,
 }
 
-/// A result as a reader got it.
+/// One entry of a job's result list, as a reader received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedResult {
+    /// Id of the item.
     pub item: String,
     pub outcome: Outcome,
+    /// The text that a server produced; empty for a dead-lettered item.
     pub text: String,
 }
 
+/// Everything that was observed of one job.
 #[derive(Clone, Debug)]
-pub(crate) struct JobSeen {
-    pub sent: SubmittedJob,
-    /// Tokens that its tenant might have queued when it was first sent.
-    pub most_queued: u64,
+pub(crate) struct ObservedJob {
+    pub submitted: SubmittedJob,
+    /// The tenant's limit of queued tokens when the job was first submitted.
+    pub max_queued_tokens: u64,
+    /// When a client first received status 202.
     pub accepted: Option<Micros>,
-    pub end_asked: bool,
-    pub ended: Option<Micros>,
-    /// When it was given up with all that its group held.
+    /// Whether a client requested the cancellation of the job.
+    pub cancel_requested: bool,
+    /// When the cancellation was first acknowledged.
+    pub cancelled: Option<Micros>,
+    /// When an operator gave up the group of stores that held the job.
     pub given_up: Option<Micros>,
-    /// By position, with when it was first read.
+    /// Results that were read, by position in the result list, with the time of the first read.
     pub listed: BTreeMap<usize, (ListedResult, Micros)>,
-    /// Texts of whole runs, by item.
+    /// Texts that servers produced in completed runs, by item id.
     pub outputs: BTreeMap<String, Vec<String>>,
 }
 
-impl JobSeen {
-    pub fn new(sent: SubmittedJob, most_queued: u64) -> Self {
+impl ObservedJob {
+    pub fn new(submitted: SubmittedJob, max_queued_tokens: u64) -> Self {
         Self {
-            sent,
-            most_queued,
+            submitted,
+            max_queued_tokens,
             accepted: None,
-            end_asked: false,
-            ended: None,
+            cancel_requested: false,
+            cancelled: None,
             given_up: None,
             listed: BTreeMap::new(),
             outputs: BTreeMap::new(),
         }
     }
 
-    /// Tokens of items that no server has finished.
-    pub fn queued(&self) -> u64 {
-        if self.accepted.is_none() || self.end_asked || self.given_up.is_some() {
+    /// Returns the tokens of all items that no server has completed; 0 unless the job is accepted and still to be run.
+    pub fn queued_tokens(&self) -> u64 {
+        if self.accepted.is_none() || self.cancel_requested || self.given_up.is_some() {
             return 0;
         }
-        let waiting = self.sent.items.iter().filter(|item| !self.outputs.contains_key(&item.id));
+        let waiting = self.submitted.items.iter().filter(|item| !self.outputs.contains_key(&item.id));
         waiting.map(|item| item.tokens).sum()
     }
 
-    /// Compares a page with all that was read before; gives what is wrong.
-    pub fn take_page(
+    /// Compares a page with everything that was read before, records its results, and returns the violations found.
+    pub fn check_page(
         &mut self,
-        asked: Micros,
+        requested_at: Micros,
         at: Micros,
         page: &ResultPage,
-        settle: Micros,
+        visibility_delay: Micros,
     ) -> Vec<(Rule, String)> {
-        let mut broken = Vec::new();
-        if self.given_up.is_some_and(|given_up| asked > given_up + settle) {
-            broken.push((Rule::GivenUp, "was given up, and is shown".to_owned()));
+        let mut violations = Vec::new();
+        if self.given_up.is_some_and(|given_up| requested_at > given_up + visibility_delay) {
+            violations.push((Rule::GivenUp, "was given up, but its results are shown".to_owned()));
         }
-        if page.total != self.sent.items.len() {
-            broken.push((Rule::Mixed, format!("total is {}, not {}", page.total, self.sent.items.len())));
+        if page.total != self.submitted.items.len() {
+            violations.push((
+                Rule::Mixed,
+                format!(
+                    "the page has a total of {}, the job has {} items",
+                    page.total,
+                    self.submitted.items.len()
+                ),
+            ));
         }
-        let was_read = self.listed.get(&page.start).is_some_and(|(_, first)| asked > first + settle);
+        let was_read = self
+            .listed
+            .get(&page.start)
+            .is_some_and(|(_, first_read)| requested_at > first_read + visibility_delay);
         if page.results.is_empty() && was_read {
-            broken.push((Rule::Lost, format!("nothing stands at position {} any more", page.start)));
+            violations.push((Rule::Lost, format!("no result is listed at position {} any more", page.start)));
         }
-        for (place, result) in page.results.iter().enumerate() {
-            broken.extend(self.take_result(at, page.start + place, result));
+        for (offset, result) in page.results.iter().enumerate() {
+            violations.extend(self.check_result(at, page.start + offset, result));
         }
-        broken
+        violations
     }
 
-    fn take_result(&mut self, at: Micros, position: usize, result: &ListedResult) -> Option<(Rule, String)> {
-        if !self.sent.items.iter().any(|item| item.id == result.item) {
+    /// Checks one result, and records it if it is new and violates no rule.
+    fn check_result(&mut self, at: Micros, position: usize, result: &ListedResult) -> Option<(Rule, String)> {
+        if !self.submitted.items.iter().any(|item| item.id == result.item) {
             return Some((
                 Rule::Mixed,
-                format!("position {position} holds {}, not an item of it", result.item),
+                format!("position {position} holds {}, which is not an item of the job", result.item),
             ));
         }
         if let Some((before, _)) = self.listed.get(&position) {
@@ -111,12 +132,15 @@
         }
         let elsewhere = self.listed.iter().find(|(_, (listed, _))| listed.item == result.item);
         if let Some((first, _)) = elsewhere {
-            return Some((Rule::Twice, format!("{} stands at {first} and {position}", result.item)));
+            return Some((
+                Rule::Twice,
+                format!("{} is listed at positions {first} and {position}", result.item),
+            ));
         }
         let outputs = self.outputs.get(&result.item);
-        let is_whole = outputs.is_some_and(|outputs| outputs.contains(&result.text));
-        if result.outcome == Outcome::Succeeded && !is_whole {
-            return Some((Rule::Mixed, format!("{} has a text that no run gave", result.item)));
+        let is_known_output = outputs.is_some_and(|outputs| outputs.contains(&result.text));
+        if result.outcome == Outcome::Succeeded && !is_known_output {
+            return Some((Rule::Mixed, format!("{} has a text that no server produced", result.item)));
         }
         self.listed.insert(position, (result.clone(), at));
         None
