--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,113 +1,76 @@
-//! Days: machines, and the troubles that strike them at set times. A seed draws a day; a family leans it towards one
-//! kind of trouble.
+//! Days: simulated test scenarios of the core, with faults that are injected at given times. A day is generated from a seed; its
+//! family makes some kinds of fault more frequent.
 
 use strum::{Display, EnumIter, EnumString, IntoEnumIterator};
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 
 /// Microseconds of simulated time.
 pub type Micros = u64;
 
+/// One millisecond of simulated time.
 pub const MILLISECOND: Micros = 1_000;
+/// One second of simulated time.
 pub const SECOND: Micros = 1_000_000;
 
-/// A replaced or wiped machine counts as lost until so long after it and all others are back, as in the users' deployments.
-pub const CATCH_UP: Micros = 5_200 * MILLISECOND;
-const FIRST_TROUBLE: Micros = 4 * SECOND;
+/// A replaced or wiped machine counts as lost until it and all others have been back for this time, as the deployments require.
+pub const CATCH_UP_TIME: Micros = 5_200 * MILLISECOND;
+/// When the first fault is injected.
+const FIRST_TROUBLE_AT: Micros = 4 * SECOND;
 
-/// What a day leans towards: the users' points (1) to (4), and everything mixed.
+/// The kinds of fault that are frequent on a day. Its names are values of the command line, in kebab case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Family {
-    /// A machine is cut off for long, and orders go on.
+    /// A machine is partitioned for a long time while orders continue.
     CutOff,
-    /// Orders race, answers are lost, whoever acknowledges is struck.
+    /// Orders are lost and repeated, responses are lost, and machines fail right after an acknowledgement.
     Races,
-    /// One disk after the other is lost, machines are replaced, others are dark meanwhile.
+    /// Disks are lost one after the other and machines are replaced, while others have no power.
     SecondLoss,
-    /// Hundreds of changes while a machine is away.
+    /// Hundreds of changes are made while a machine is absent.
     ManyChanges,
-    /// Several machines at once take it upon themselves to change the view, with messages late and out of order.
+    /// Several machines propose views at the same time, and messages are late and out of order.
     Duels,
+    /// All kinds of fault.
     Mixed,
 }
 
-/// One trouble.
+/// A fault to inject. `for_` is its duration. Variants and fields are printed under their names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// The process ends; the disk stays.
-    Kill {
-        machines: Vec<usize>,
-        for_: Micros,
-    },
-    Freeze {
-        machine: usize,
-        for_: Micros,
-    },
-    /// The machines in `inside` and all others cannot reach each other; with `one_way` only the others do not hear them.
-    Cut {
-        inside: Vec<usize>,
-        for_: Micros,
-        one_way: bool,
-    },
+    /// The machines lose power and start again after `for_`; the disks are kept.
+    Kill { machines: Vec<usize>, for_: Micros },
+    /// The process handles nothing until the fault ends.
+    Freeze { machine: usize, for_: Micros },
+    /// The machines in `inside` and all others cannot reach each other; with `one_way`, only messages from `inside` are blocked.
+    Cut { inside: Vec<usize>, for_: Micros, one_way: bool },
     /// Two machines cannot reach each other, while both reach all others.
-    PairCut {
-        pair: [usize; 2],
-        for_: Micros,
-    },
-    /// So many messages in a thousand are lost, so many come twice.
-    Lossy {
-        for_: Micros,
-        lost: u64,
-        doubled: u64,
-    },
-    /// Everything from and to the machine takes so much longer.
-    SlowLink {
-        machine: usize,
-        for_: Micros,
-        delay: Micros,
-    },
-    /// Writes take so many times as long; with 0 they stand still.
-    SlowDisk {
-        machine: usize,
-        for_: Micros,
-        times: u64,
-    },
-    /// The disks are lost, the machines come back empty; the `dark` ones lose power at the same moment and come back later.
-    Wipe {
-        machines: Vec<usize>,
-        for_: Micros,
-        dark: Vec<usize>,
-        dark_for: Micros,
-    },
-    /// The machine is gone for good, another comes at another address; planned: the other one first.
-    Replace {
-        machine: usize,
-        gap: Micros,
-        planned: bool,
-    },
-    /// One machine misses changes, then another loses its disk while the rest are dark; then all come back.
-    Behind {
-        cut: usize,
-        wiped: usize,
-        missed_for: Micros,
-        dark_for: Micros,
-    },
-    /// Whoever acknowledges next loses power a moment later; with `wipe` its disk, too.
-    AfterAck {
-        wipe: bool,
-        for_: Micros,
-        within: Micros,
-    },
-    /// Answers to operators are lost, so many in a thousand.
-    AnswersLost {
-        for_: Micros,
-        lost: u64,
-    },
+    PairCut { pair: [usize; 2], for_: Micros },
+    /// Of 1000 messages, `lost` are lost, and `doubled` of the others are duplicated.
+    Lossy { for_: Micros, lost: u64, doubled: u64 },
+    /// Messages from and to the machine take up to `delay` longer.
+    SlowLink { machine: usize, for_: Micros, delay: Micros },
+    /// Writes take `times` times as long; with 0 they complete only after the fault.
+    SlowDisk { machine: usize, for_: Micros, times: u64 },
+    /// The machines lose their disks and start again empty after `for_`. The `dark` machines lose power at the same time and start
+    /// again after `dark_for`.
+    Wipe { machines: Vec<usize>, for_: Micros, dark: Vec<usize>, dark_for: Micros },
+    /// The machine is removed for good, and a new one starts at another address. The new machine starts `gap` after the removal, or
+    /// `gap` before it if `planned`.
+    Replace { machine: usize, gap: Micros, planned: bool },
+    /// The machine `cut` is partitioned for `missed_for` and longer, and misses changes. Then the machine `wiped` loses its disk and the
+    /// rest lose power for `dark_for`, and all come back.
+    Behind { cut: usize, wiped: usize, missed_for: Micros, dark_for: Micros },
+    /// The next machine that acknowledges an order loses power `within` later, and with `wipe` also its disk.
+    AfterAck { wipe: bool, for_: Micros, within: Micros },
+    /// Of 1000 responses to operators, `lost` are lost.
+    AnswersLost { for_: Micros, lost: u64 },
 }
 
 impl Trouble {
-    /// From its beginning until all that it touches is well again; a trap lasts from when it springs.
+    /// Returns the time from the start of the fault until everything that it affects works again. For `AfterAck` the time counts
+    /// from the acknowledgement.
     pub fn lasts(&self) -> Micros {
         match self {
             Self::Kill { for_, .. }
@@ -127,78 +90,85 @@
     }
 }
 
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Strike {
     pub at: Micros,
     pub trouble: Trouble,
 }
 
-/// A day.
+/// A simulated test scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Day {
     pub seed: u64,
     pub family: Family,
-    /// Losses of disks at once that must be borne.
+    /// Number of simultaneous disk losses that the core must tolerate.
     pub losses: usize,
-    /// Machines that count at the start; replacements take further numbers.
+    /// Number of machines at the start; replacements get the following numbers.
     pub machines: usize,
+    /// Number of operators that send orders; one more only reads.
     pub operators: usize,
-    /// Between an operator's orders.
+    /// Mean time between an acknowledgement and the operator's next order.
     pub pause: Micros,
+    /// The faults, in the order of time.
     pub strikes: Vec<Strike>,
-    /// When the last trouble strikes: every machine is down, some lose their disks, all come back.
+    /// When all machines lose power at the end of the day, before they come back for the final checks.
     pub closing: Micros,
+    /// Machines that then lose their disks.
     pub closing_wipes: Vec<usize>,
 }
 
 impl Day {
-    /// Draws a day. The families take turns over the seeds.
+    /// Generates the day of a seed. The families alternate from seed to seed.
     pub fn drawn(seed: u64) -> Self {
         let families: Vec<Family> = Family::iter().collect();
         Self::of_family(seed, families[(seed % families.len() as u64) as usize])
     }
 
+    /// Generates the day of a seed in a given family.
     pub fn of_family(seed: u64, family: Family) -> Self {
-        Draw { chance: Chance::new(seed), busy_until: 0, replaced: Vec::new() }.day(seed, family)
+        DayGenerator { rng: SeededRng::new(seed), busy_until: 0, replaced: Vec::new() }.generate(seed, family)
     }
 }
 
-struct Draw {
-    chance: Chance,
-    /// When the troubles that were drawn will be over.
+/// Generates a day. The order of the random draws determines the day, so it must not change.
+struct DayGenerator {
+    rng: SeededRng,
+    /// When the faults that were generated so far will be over.
     busy_until: Micros,
+    /// Machines that are replaced during the day.
     replaced: Vec<usize>,
 }
 
-impl Draw {
-    fn day(&mut self, seed: u64, family: Family) -> Day {
-        let losses = 1 + usize::from(self.chance.in_thousand(200));
-        let fewest = 2 * losses + 1;
-        let machines = fewest + self.chance.below(losses + 2);
-        let length = self.chance.between(20, 34) * SECOND;
+impl DayGenerator {
+    fn generate(&mut self, seed: u64, family: Family) -> Day {
+        let losses = 1 + usize::from(self.rng.per_mille(200));
+        let min_machines = 2 * losses + 1;
+        let machines = min_machines + self.rng.below(losses + 2);
+        let length = self.rng.between(20, 34) * SECOND;
         let pause = match family {
-            Family::ManyChanges => self.chance.between(8, 40) * MILLISECOND,
-            _ => self.chance.between(40, 500) * MILLISECOND,
+            Family::ManyChanges => self.rng.between(8, 40) * MILLISECOND,
+            _ => self.rng.between(40, 500) * MILLISECOND,
         };
         let mut strikes = Vec::new();
-        let mut at = FIRST_TROUBLE;
+        let mut at = FIRST_TROUBLE_AT;
         while at < length {
-            let trouble = self.trouble(family, machines, losses);
+            let trouble = self.random_trouble(family, machines, losses);
             self.busy_until = self.busy_until.max(at + trouble.lasts());
             strikes.push(Strike { at, trouble });
             let longest = if family == Family::Duels { SECOND } else { 6 * SECOND };
-            at += self.chance.between(200 * MILLISECOND, longest);
-            // A further disk may be lost only once what was lost is made good: wait for that now and then.
-            if self.chance.in_thousand(if family == Family::SecondLoss { 700 } else { 250 }) {
-                at = at.max(self.busy_until + CATCH_UP + self.chance.between(0, 300 * MILLISECOND));
+            at += self.rng.between(200 * MILLISECOND, longest);
+            // Another disk may be lost only after the cluster has recovered from the previous loss, so some faults wait for that.
+            if self.rng.per_mille(if family == Family::SecondLoss { 700 } else { 250 }) {
+                at = at.max(self.busy_until + CATCH_UP_TIME + self.rng.between(0, 300 * MILLISECOND));
             }
         }
-        let closing = match self.chance.in_thousand(500) {
-            true => length.max(self.busy_until + CATCH_UP) + self.chance.between(0, SECOND),
+        let closing = match self.rng.per_mille(500) {
+            true => length.max(self.busy_until + CATCH_UP_TIME) + self.rng.between(0, SECOND),
             false => length,
         };
-        let closing_wipes = match self.chance.in_thousand(600) {
-            true => self.some(machines, losses),
+        let closing_wipes = match self.rng.per_mille(600) {
+            true => self.random_machines(machines, losses),
             false => Vec::new(),
         };
         Day {
@@ -206,7 +176,7 @@
             family,
             losses,
             machines,
-            operators: 2 + self.chance.below(2),
+            operators: 2 + self.rng.below(2),
             pause,
             strikes,
             closing,
@@ -214,11 +184,12 @@
         }
     }
 
-    fn some(&mut self, machines: usize, most: usize) -> Vec<usize> {
-        let count = 1 + self.chance.below(most);
+    /// Returns 1 to `max_count` different machines.
+    fn random_machines(&mut self, machines: usize, max_count: usize) -> Vec<usize> {
+        let count = 1 + self.rng.below(max_count);
         let mut chosen: Vec<usize> = Vec::new();
         while chosen.len() < count {
-            let machine = self.chance.below(machines);
+            let machine = self.rng.below(machines);
             if !chosen.contains(&machine) {
                 chosen.push(machine);
             }
@@ -226,7 +197,7 @@
         chosen
     }
 
-    fn trouble(&mut self, family: Family, machines: usize, losses: usize) -> Trouble {
+    fn random_trouble(&mut self, family: Family, machines: usize, losses: usize) -> Trouble {
         let kinds: &[usize] = match family {
             Family::CutOff => &[2, 2, 2, 2, 1, 0, 9, 11],
             Family::Races => &[8, 8, 10, 10, 3, 0, 2, 11],
@@ -235,59 +206,63 @@
             Family::Duels => &[11, 11, 4, 4, 4, 1, 3, 2],
             Family::Mixed => &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 11],
         };
-        let kind = *self.chance.pick(kinds).unwrap_or(&0);
-        let machine = self.chance.below(machines);
-        let short = self.chance.between(50 * MILLISECOND, 4 * SECOND);
+        let kind = *self.rng.choose(kinds).unwrap_or(&0);
+        let machine = self.rng.below(machines);
+        let duration = self.rng.between(50 * MILLISECOND, 4 * SECOND);
         match kind {
-            1 => Trouble::Freeze { machine, for_: self.chance.between(300, 8_000) * MILLISECOND },
-            2 => self.cut(family, machines),
+            1 => Trouble::Freeze { machine, for_: self.rng.between(300, 8_000) * MILLISECOND },
+            2 => self.random_cut(family, machines),
             3 => Trouble::Lossy {
-                for_: short,
-                lost: self.chance.between(10, 400),
-                doubled: self.chance.between(0, 300),
+                for_: duration,
+                lost: self.rng.between(10, 400),
+                doubled: self.rng.between(0, 300),
             },
-            4 => Trouble::SlowLink { machine, for_: short, delay: self.chance.between(5, 900) * MILLISECOND },
-            5 => Trouble::SlowDisk { machine, for_: short, times: self.chance.between(0, 60) },
-            6 => self.wipe(machines, losses),
+            4 => Trouble::SlowLink { machine, for_: duration, delay: self.rng.between(5, 900) * MILLISECOND },
+            5 => Trouble::SlowDisk { machine, for_: duration, times: self.rng.between(0, 60) },
+            6 => self.random_wipe(machines, losses),
             7 if self.replaced.len() < 2 => {
-                let gap = self.chance.between(200, 2_500) * MILLISECOND;
+                let gap = self.rng.between(200, 2_500) * MILLISECOND;
                 self.replaced.push(machine);
-                Trouble::Replace { machine, gap, planned: self.chance.in_thousand(400) }
+                Trouble::Replace { machine, gap, planned: self.rng.per_mille(400) }
             }
             8 => {
-                let wipe = self.chance.in_thousand(500);
-                Trouble::AfterAck { wipe, for_: short, within: self.chance.between(0, 6) * MILLISECOND }
+                let wipe = self.rng.per_mille(500);
+                Trouble::AfterAck { wipe, for_: duration, within: self.rng.between(0, 6) * MILLISECOND }
             }
-            9 => self.behind(machines),
+            9 => self.random_behind(machines),
             11 => Trouble::PairCut {
-                pair: [machine, (machine + 1 + self.chance.below(machines - 1)) % machines],
-                for_: self.chance.between(500, 8_000) * MILLISECOND,
+                pair: [machine, (machine + 1 + self.rng.below(machines - 1)) % machines],
+                for_: self.rng.between(500, 8_000) * MILLISECOND,
             },
-            10 => Trouble::AnswersLost { for_: short, lost: self.chance.between(300, 900) },
+            10 => Trouble::AnswersLost { for_: duration, lost: self.rng.between(300, 900) },
             _ => {
-                let all = self.chance.in_thousand(250);
-                let machines = if all { (0..machines + 4).collect() } else { vec![machine] };
-                Trouble::Kill { machines, for_: short }
+                let is_all = self.rng.per_mille(250);
+                let machines = if is_all { (0..machines + 4).collect() } else { vec![machine] };
+                Trouble::Kill { machines, for_: duration }
             }
         }
     }
 
-    fn cut(&mut self, family: Family, machines: usize) -> Trouble {
-        let half = self.chance.in_thousand(300);
-        let inside = if half { self.some(machines, machines / 2) } else { vec![self.chance.below(machines)] };
+    fn random_cut(&mut self, family: Family, machines: usize) -> Trouble {
+        let is_split = self.rng.per_mille(300);
+        let inside = if is_split {
+            self.random_machines(machines, machines / 2)
+        } else {
+            vec![self.rng.below(machines)]
+        };
         let longest = if family == Family::CutOff { 20 } else { 8 };
         Trouble::Cut {
             inside,
-            for_: self.chance.between(500, longest * 1_000) * MILLISECOND,
-            one_way: self.chance.in_thousand(250),
+            for_: self.rng.between(500, longest * 1_000) * MILLISECOND,
+            one_way: self.rng.per_mille(250),
         }
     }
 
-    fn wipe(&mut self, machines: usize, losses: usize) -> Trouble {
-        let wiped = self.some(machines, losses);
-        let for_ = self.chance.between(50, 3_000) * MILLISECOND;
-        let dark_for = self.chance.between(100, 4_000) * MILLISECOND;
-        let all_dark = self.chance.in_thousand(400);
+    fn random_wipe(&mut self, machines: usize, losses: usize) -> Trouble {
+        let wiped = self.random_machines(machines, losses);
+        let for_ = self.rng.between(50, 3_000) * MILLISECOND;
+        let dark_for = self.rng.between(100, 4_000) * MILLISECOND;
+        let all_dark = self.rng.per_mille(400);
         let dark = match all_dark {
             true => (0..machines).filter(|machine| !wiped.contains(machine)).collect(),
             false => Vec::new(),
@@ -295,11 +270,11 @@
         Trouble::Wipe { machines: wiped, for_, dark, dark_for }
     }
 
-    fn behind(&mut self, machines: usize) -> Trouble {
-        let cut = self.chance.below(machines);
-        let wiped = (cut + 1 + self.chance.below(machines - 1)) % machines;
-        let missed_for = self.chance.between(1_000, 6_000) * MILLISECOND;
-        let dark_for = self.chance.between(200, 4_000) * MILLISECOND;
+    fn random_behind(&mut self, machines: usize) -> Trouble {
+        let cut = self.rng.below(machines);
+        let wiped = (cut + 1 + self.rng.below(machines - 1)) % machines;
+        let missed_for = self.rng.between(1_000, 6_000) * MILLISECOND;
+        let dark_for = self.rng.between(200, 4_000) * MILLISECOND;
         Trouble::Behind { cut, wiped, missed_for, dark_for }
     }
 }
--- a/crates/simulation/src/judge.rs
+++ b/crates/simulation/src/judge.rs
@@ -1,4 +1,5 @@
-//! What must hold on every day, and whether it did. The judge sees only what came out of the machines.
+//! Checks the guarantees of the core on a simulated day. The checker sees only observable results: committed versions, views, and
+//! responses to operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,139 +9,171 @@
 use crate::day::Micros;
 use crate::ledger::Order;
 
-/// A rule that was broken.
+/// A guarantee that can be violated. It is printed in kebab case, like `old-read`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Rule {
-    /// Two contents were committed at one place in the history.
+    /// Two different values were committed at one sequence number.
     OneHistory,
-    /// What was acknowledged is not in the history.
+    /// An acknowledged change is missing from the committed history.
     Lost,
-    /// A read was older than what was acknowledged before it was asked.
+    /// A read returned a version older than a change that was acknowledged before the read was requested.
     OldRead,
-    /// An order that was refused took effect, or one that had taken effect was refused.
+    /// A change that was rejected with a conflict took effect, or one that had taken effect was rejected.
     Refused,
-    /// Two views, or two heads, for one epoch.
+    /// Two different views exist for one epoch.
     OneView,
-    /// A machine went back to an older state within one life.
+    /// A machine published an older version than before, without a restart in between.
     WentBack,
-    /// Not serving, or a machine not level, so long after all are back.
+    /// After the recovery time at the end of the day, no changes or reads succeed, or too few machines are caught up.
     NotRecovered,
 }
 
-/// A broken rule with what was seen.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
+    /// The simulated time of the violation.
     pub at: Micros,
-    pub what: String,
+    /// What was observed.
+    pub description: String,
 }
 
+/// Records the observable results of a day and collects violations of the rules.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct InvariantChecker {
+    /// Digest of the committed value, by sequence number.
     history: BTreeMap<u64, u128>,
+    /// The view that was seen first, by epoch.
     views: BTreeMap<u64, View>,
-    /// The newest place that was acknowledged.
-    acknowledged: u64,
+    /// The highest sequence number that was acknowledged.
+    max_acknowledged: u64,
     acknowledged_orders: BTreeSet<Order>,
-    refused: BTreeSet<Order>,
-    /// All orders that ever took effect, by place.
+    rejected_orders: BTreeSet<Order>,
+    /// All orders that ever took effect, with the sequence number at which that was first seen.
     effective: BTreeMap<Order, u64>,
+    /// The last sequence number that each running machine published as committed.
     published: BTreeMap<Identity, u64>,
-    pub broken: Vec<Broken>,
+    /// All violations, in the order in which they were found.
+    pub violations: Vec<Violation>,
+    /// Number of acknowledgements of orders.
     pub acknowledgements: u64,
+    /// Number of answered reads.
     pub reads: u64,
+    /// Number of rejections of orders.
     pub refusals: u64,
 }
 
-impl Judge {
-    fn breaks(&mut self, rule: Rule, at: Micros, what: String) {
-        self.broken.push(Broken { rule, at, what });
+impl InvariantChecker {
+    fn report(&mut self, rule: Rule, at: Micros, description: String) {
+        self.violations.push(Violation { rule, at, description });
     }
 
-    /// A machine takes this version for committed and hands it on.
-    pub fn saw_committed(&mut self, at: Micros, by: &Identity, version: Version, orders: &[Order]) {
+    /// Records that a machine publishes a version as committed, with the orders that its value remembers, oldest first.
+    pub fn record_committed(&mut self, at: Micros, by: &Identity, version: Version, orders: &[Order]) {
         let known = *self.history.entry(version.sequence).or_insert(version.digest);
         if known != version.digest {
-            let what = format!("place {} has two contents, one seen at {}", version.sequence, by.node);
-            self.breaks(Rule::OneHistory, at, what);
+            let description = format!(
+                "sequence number {} has two different values, one of them published by {}",
+                version.sequence, by.node
+            );
+            self.report(Rule::OneHistory, at, description);
         }
         for order in orders.iter().rev() {
             if self.effective.insert(*order, version.sequence).is_some() {
                 break;
             }
-            if self.refused.contains(order) {
-                self.breaks(Rule::Refused, at, format!("{order:?} was refused and took effect"));
+            if self.rejected_orders.contains(order) {
+                self.report(Rule::Refused, at, format!("{order:?} was rejected and then took effect"));
             }
         }
         let before = self.published.insert(by.clone(), version.sequence).unwrap_or(0);
         if before > version.sequence {
-            let what = format!("{} went from place {before} to {}", by.node, version.sequence);
-            self.breaks(Rule::WentBack, at, what);
+            let description =
+                format!("{} went back from sequence number {before} to {}", by.node, version.sequence);
+            self.report(Rule::WentBack, at, description);
         }
     }
 
-    /// A process has ended: its next life begins anew.
-    pub fn saw_end(&mut self, of: &Identity) {
+    /// Records the end of a process. After a restart it may publish older versions than before.
+    pub fn record_end(&mut self, of: &Identity) {
         self.published.remove(of);
     }
 
-    pub fn saw_view(&mut self, at: Micros, view: &View) {
+    /// Records that a machine has installed a view.
+    pub fn record_view(&mut self, at: Micros, view: &View) {
         if view.epoch == 0 {
             return;
         }
         let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
         if known != view {
-            let what = format!("epoch {} has two views", view.epoch);
-            self.breaks(Rule::OneView, at, what);
+            let description = format!("epoch {} has two different views", view.epoch);
+            self.report(Rule::OneView, at, description);
         }
     }
 
-    pub fn saw_acknowledgement(&mut self, order: Order, place: u64) {
+    /// Records that an order was acknowledged, at this sequence number or an earlier one.
+    pub fn record_acknowledgement(&mut self, order: Order, sequence: u64) {
         self.acknowledgements += 1;
-        self.acknowledged = self.acknowledged.max(place);
+        self.max_acknowledged = self.max_acknowledged.max(sequence);
         self.acknowledged_orders.insert(order);
     }
 
-    pub fn saw_refusal(&mut self, at: Micros, order: Order) {
+    /// Records that an order was rejected with a conflict.
+    pub fn record_refusal(&mut self, at: Micros, order: Order) {
         self.refusals += 1;
-        self.refused.insert(order);
+        self.rejected_orders.insert(order);
         if self.effective.contains_key(&order) {
-            self.breaks(Rule::Refused, at, format!("{order:?} had taken effect and was refused"));
+            self.report(Rule::Refused, at, format!("{order:?} had taken effect and was then rejected"));
         }
     }
 
-    /// The place that a read must not be older than, if it is asked now.
-    pub fn floor_for_reads(&self) -> u64 {
-        self.acknowledged
+    /// Returns the lowest sequence number that a read requested now may return.
+    pub fn min_read_position(&self) -> u64 {
+        self.max_acknowledged
     }
 
-    pub fn saw_read(&mut self, at: Micros, floor: u64, place: u64) {
+    /// Records the sequence number that a read returned; `min_position` is what `min_read_position` gave when it was requested.
+    pub fn record_read(&mut self, at: Micros, min_position: u64, sequence: u64) {
         self.reads += 1;
-        if place < floor {
-            self.breaks(Rule::OldRead, at, format!("place {place} was read after {floor} was acknowledged"));
+        if sequence < min_position {
+            self.report(
+                Rule::OldRead,
+                at,
+                format!("sequence number {sequence} was read after {min_position} was acknowledged"),
+            );
         }
     }
 
-    pub fn saw_no_recovery(&mut self, at: Micros, what: String) {
-        self.breaks(Rule::NotRecovered, at, what);
+    /// Records that the core has not recovered in time.
+    pub fn record_no_recovery(&mut self, at: Micros, description: String) {
+        self.report(Rule::NotRecovered, at, description);
     }
 
-    /// At the end: all that was acknowledged is in the history that survived, of which `last` is the newest place.
-    pub fn close(&mut self, at: Micros, last: Option<u64>) {
+    /// Checks at the end of the day that every acknowledged order is in the committed history. `last` is its highest sequence
+    /// number; without one, nothing is checked.
+    pub fn check_durability(&mut self, at: Micros, last: Option<u64>) {
         let Some(last) = last else { return };
-        if last < self.acknowledged {
-            let what = format!("place {} was acknowledged, {last} is the newest", self.acknowledged);
-            self.breaks(Rule::Lost, at, what);
+        if last < self.max_acknowledged {
+            let description = format!(
+                "sequence number {} was acknowledged, but the highest committed one is {last}",
+                self.max_acknowledged
+            );
+            self.report(Rule::Lost, at, description);
         }
         let mut bases: BTreeMap<u64, Order> = BTreeMap::new();
         for order in self.acknowledged_orders.clone() {
             if let Some(other) = bases.insert(order.base, order).filter(|other| *other != order) {
-                let what = format!("{order:?} and {other:?} build on one version");
-                self.breaks(Rule::Lost, at, what);
+                let description =
+                    format!("{order:?} and {other:?} were both acknowledged with the same base generation");
+                self.report(Rule::Lost, at, description);
             }
             if !self.effective.contains_key(&order) {
-                self.breaks(Rule::Lost, at, format!("{order:?} was acknowledged and never seen committed"));
+                self.report(
+                    Rule::Lost,
+                    at,
+                    format!("{order:?} was acknowledged, but never published as committed"),
+                );
             }
         }
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,8 @@
-//! Simulated days of the core: the very state machines that the control plane runs, on a simulated clock, with links that
-//! lose, double, delay and cut, disks that are slow or lost, freezes, replacements and operators that race. A judge looks at what
-//! comes out. The same seed gives the same day, to the byte.
+//! Deterministic simulation of the core and of the stores.
+//!
+//! A simulated "day" runs the state machines of the control plane on a simulated clock. Links lose, duplicate, delay and block
+//! messages, disks are slow or lost, processes freeze, machines are replaced, and operators send conflicting changes. A checker
+//! compares the observable results with the guarantees. The same seed always produces exactly the same day.
 
 mod chance;
 mod day;
@@ -16,16 +18,16 @@
 mod threads;
 mod world;
 
-pub use chance::Chance;
+pub use chance::SeededRng;
 pub use day::{Day, Family, Micros, Strike, Trouble, MILLISECOND, SECOND};
 pub use exhaustive::{Exhaustive, Grain, Searched};
-pub use judge::{Broken, Rule};
-pub use ledger::{Decision, Ledger, Order};
-pub use plant::Plant;
-pub use shrink::shrunk;
+pub use judge::{Rule, Violation};
+pub use ledger::{Decision, Order, SimulatedConfig};
+pub use plant::SimulationBug;
+pub use shrink::shrink_day;
 pub use stores::{
     play_stores, play_stores_and_print, shrunk_stores, Aimed, Blow, Costs, Moment, StoreDay, StoreEvent,
     StoreFamily, StoreGrain, StorePlant, StoreSearch, StoreStrike, StoreTrouble, StoresPlayed, Whom,
 };
-pub use threads::{on_threads, seeds_on_threads};
+pub use threads::{play_days_on_threads, run_seeds_on_threads};
 pub use world::{play, play_and_print, Played};
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,5 +1,5 @@
-//! A simulated machine: a disk, and a process while there is one. Inputs are taken one at a time; what follows from one leaves only when
-//! its writes are done, as in the control plane.
+//! A simulated machine: a disk, and a process while the machine is running. The process handles one input at a time; messages that an
+//! input causes are sent only after its writes are on the disk, as in the control plane.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,31 +11,34 @@
     Version, ViewRules, VotingRecord,
 };
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND};
-use crate::ledger::{Decision, Ledger, Order};
+use crate::ledger::{Decision, Order, SimulatedConfig};
 use crate::network::Network;
 use crate::operator::{Answer, Ask};
-use crate::plant::Plant;
-
-/// One write to a disk without trouble.
-const WRITE: (Micros, Micros) = (400, 2_400);
-/// How long an order may wait for its turn.
-const TURN_PATIENCE: Micros = 2_000 * MILLISECOND;
-const CALL_PATIENCE: Micros = 2_600 * MILLISECOND;
-const MOST_WAITING: usize = 4_000;
-
-/// A question to a machine, and to whom the answer goes.
+use crate::plant::SimulationBug;
+
+/// Minimum and maximum duration of one write to a disk without faults.
+const WRITE_TIME: (Micros, Micros) = (400, 2_400);
+/// How long an order may wait until the head can write, before the outcome is reported as unknown.
+const TURN_TIMEOUT: Micros = 2_000 * MILLISECOND;
+/// How long a call may wait for a commit or a quorum check, before the outcome is reported as unknown.
+const CALL_TIMEOUT: Micros = 2_600 * MILLISECOND;
+/// Inputs that arrive while this number waits for a write are dropped.
+const MAX_INBOX_LENGTH: usize = 4_000;
+
+/// A request of an operator to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
     pub operator: usize,
+    /// The operator's number of the request.
     pub attempt: u64,
     pub ask: Ask,
-    /// The machine that the operator called.
+    /// The machine that the operator sent the request to, through which the response goes back.
     pub origin: usize,
 }
 
-/// What comes to a process.
+/// An input of a process.
 #[derive(Clone, Debug)]
 pub enum Input {
     Tick,
@@ -43,91 +46,107 @@
     Call(Call),
 }
 
-/// What leaves a machine.
+/// An output of a machine.
 #[derive(Debug)]
-pub enum Leaving {
+pub enum Output {
     Message(SocketAddr, Message),
     Answer(Call, Answer),
-    /// To be asked of another machine.
+    /// The request is passed on to another machine.
     Forward(SocketAddr, Call),
 }
 
-enum Waiting {
+/// What a pending call waits for.
+enum CallState {
+    /// The head can write.
     Turn(Order),
+    /// The version that contains the order is committed.
     Write(Version),
+    /// The quorum check before a rejection.
     Refusal(QuorumCheck),
+    /// The quorum check before a read.
     Read(QuorumCheck),
 }
 
-struct Open {
+/// A call without a response yet.
+struct PendingCall {
     call: Call,
     since: Micros,
-    waiting: Waiting,
+    state: CallState,
 }
 
-struct Writing {
-    value: Option<(Version, Arc<Ledger>)>,
+/// Writes that have begun, and the messages to send when they are done.
+struct WriteInProgress {
+    value: Option<(Version, Arc<SimulatedConfig>)>,
     record: Option<VotingRecord>,
     sends: Vec<(SocketAddr, Message)>,
 }
 
+/// The volatile state of a running machine.
 pub struct Process {
-    pub coordinator: Coordinator<Ledger>,
+    pub coordinator: Coordinator<SimulatedConfig>,
     inbox: VecDeque<Input>,
-    writing: Option<Writing>,
-    open: Vec<Open>,
-    /// What was last shown to the judge.
-    pub shown: Option<Version>,
-    pub shown_epoch: u64,
+    writing: Option<WriteInProgress>,
+    pending_calls: Vec<PendingCall>,
+    /// The committed version that was last reported to the checker.
+    pub published: Option<Version>,
+    /// The epoch of the view that was last reported to the checker.
+    pub published_epoch: u64,
 }
 
+/// A simulated machine.
 pub struct Machine {
     number: usize,
     pub identity: Identity,
-    stored: DurableState<Ledger>,
-    /// What was there before the newest writes.
-    older: DurableState<Ledger>,
+    /// The content of the disk.
+    stored: DurableState<SimulatedConfig>,
+    /// The content of the disk before the last writes.
+    previous: DurableState<SimulatedConfig>,
     pub process: Option<Process>,
-    pub life: u64,
-    pub gone: bool,
-    wiped_at_end: bool,
+    /// Increases at each start and each power loss, so that events of an earlier process can be recognized.
+    pub incarnation: u64,
+    /// The machine was removed for good.
+    pub removed: bool,
+    wipe_on_power_off: bool,
     pub frozen_until: Micros,
-    slow_disk: (Micros, u64),
+    /// Until when writes are slow, and by which factor; with 0 they complete only at that time.
+    disk_slowdown: (Micros, u64),
     rules: ViewRules,
-    plant: Option<Plant>,
+    bug: Option<SimulationBug>,
 }
 
 impl Machine {
-    /// With an empty disk; `bootstrap` only at the very first start.
+    /// Creates a stopped machine with an empty disk. With `bootstrap`, the `seeds` form the first view.
     pub fn new(
         number: usize,
         seeds: &[SocketAddr],
         bootstrap: bool,
         rules: ViewRules,
-        plant: Option<Plant>,
+        bug: Option<SimulationBug>,
     ) -> Self {
         let stored = DurableState::empty(if bootstrap { seeds } else { &[] });
         let identity = Identity { node: format!("machine-{number}"), disk: 1 };
         Self {
             number,
             identity,
-            older: stored.clone(),
+            previous: stored.clone(),
             stored,
             process: None,
-            life: 0,
-            gone: false,
-            wiped_at_end: false,
+            incarnation: 0,
+            removed: false,
+            wipe_on_power_off: false,
             frozen_until: 0,
-            slow_disk: (0, 1),
+            disk_slowdown: (0, 1),
             rules,
-            plant,
+            bug,
         }
     }
 
+    /// Returns whether the process is running.
     pub fn is_up(&self) -> bool {
         self.process.is_some()
     }
 
+    /// Returns how the machine describes itself to others.
     pub fn member(&self) -> Member {
         Member {
             identity: self.identity.clone(),
@@ -137,18 +156,20 @@
         }
     }
 
+    /// Returns whether writes have begun that are not done yet.
     pub fn is_writing(&self) -> bool {
         self.process.as_ref().is_some_and(|process| process.writing.is_some())
     }
 
+    /// Starts the process from the content of the disk, unless it is running or the machine was removed.
     pub fn start(&mut self, now: Micros, seeds: &[SocketAddr]) {
-        if self.gone || self.is_up() {
+        if self.removed || self.is_up() {
             return;
         }
-        self.life += 1;
+        self.incarnation += 1;
         let stored = self.read_disk();
         let mut replica = Replica::new(self.member(), true, self.rules, stored);
-        if let Some(Plant::Core(bug)) = self.plant {
+        if let Some(SimulationBug::Core(bug)) = self.bug {
             replica.plant(bug);
         }
         let coordinator = Coordinator::new(replica, Timing::default(), seeds.to_vec(), time(now));
@@ -156,69 +177,71 @@
             coordinator,
             inbox: VecDeque::new(),
             writing: None,
-            open: Vec::new(),
-            shown: None,
-            shown_epoch: 0,
+            pending_calls: Vec::new(),
+            published: None,
+            published_epoch: 0,
         });
     }
 
-    fn read_disk(&self) -> DurableState<Ledger> {
+    fn read_disk(&self) -> DurableState<SimulatedConfig> {
         let mut stored = self.stored.clone();
-        if self.plant == Some(Plant::OldRecordIsRead) {
-            stored.record = self.older.record.clone();
+        if self.bug == Some(SimulationBug::OldRecordIsRead) {
+            stored.record = self.previous.record.clone();
         }
-        if self.plant == Some(Plant::OldValueIsRead) {
-            stored.version = self.older.version;
-            stored.value = self.older.value.clone();
+        if self.bug == Some(SimulationBug::OldValueIsRead) {
+            stored.version = self.previous.version;
+            stored.value = self.previous.value.clone();
         }
         stored
     }
 
-    /// With the next loss of power the disk is lost, too.
-    pub fn wipe_at_end(&mut self) {
-        self.wiped_at_end = true;
+    /// Makes the next power loss also lose the disk.
+    pub fn wipe_on_power_off(&mut self) {
+        self.wipe_on_power_off = true;
     }
 
-    /// The process ends. Of the writes that were not done, so many are on the disk: the record comes first.
-    pub fn end(&mut self, chance: &mut Chance) {
-        self.life += 1;
-        if std::mem::take(&mut self.wiped_at_end) {
+    /// Ends the process. A random number of its unfinished writes reach the disk, the voting record before the value.
+    pub fn power_off(&mut self, rng: &mut SeededRng) {
+        self.incarnation += 1;
+        if std::mem::take(&mut self.wipe_on_power_off) {
             self.process = None;
             return self.wipe();
         }
         let Some(Process { writing: Some(writing), .. }) = self.process.take() else { return };
         let parts = usize::from(writing.value.is_some()) + usize::from(writing.record.is_some());
-        let mut done = chance.below(parts + 1);
-        if self.plant == Some(Plant::SentBeforeWritten) {
+        let mut done = rng.below(parts + 1);
+        if self.bug == Some(SimulationBug::SentBeforeWritten) {
             done = 0;
         }
         let record = writing.record.filter(|_| done > 0);
         let record_done = usize::from(record.is_some());
         let value = writing.value.filter(|_| done > record_done);
-        self.put(value, record);
+        self.apply_writes(value, record);
     }
 
-    /// The disk is lost.
+    /// Loses the content of the disk; the machine gets a new identity.
     pub fn wipe(&mut self) {
         self.stored = DurableState::empty(&[]);
-        self.older = self.stored.clone();
-        if self.plant != Some(Plant::WipedKeepsIdentity) {
+        self.previous = self.stored.clone();
+        if self.bug != Some(SimulationBug::WipedKeepsIdentity) {
             self.identity.disk += 1;
         }
     }
 
+    /// Makes writes that begin before `until` take `times` as long; with 0 they complete only after `until`.
     pub fn slow_disk(&mut self, until: Micros, times: u64) {
-        self.slow_disk = (until, times);
+        self.disk_slowdown = (until, times);
     }
 
-    pub fn heal(&mut self) {
-        self.slow_disk = (0, 1);
+    /// Ends a freeze and a slow disk.
+    pub fn clear_faults(&mut self) {
+        self.disk_slowdown = (0, 1);
         self.frozen_until = 0;
     }
 
-    fn put(&mut self, value: Option<(Version, Arc<Ledger>)>, record: Option<VotingRecord>) {
+    fn apply_writes(&mut self, value: Option<(Version, Arc<SimulatedConfig>)>, record: Option<VotingRecord>) {
         if value.is_some() || record.is_some() {
-            self.older = self.stored.clone();
+            self.previous = self.stored.clone();
         }
         if let Some((version, value)) = value {
             self.stored.version = version;
@@ -229,208 +252,230 @@
         }
     }
 
-    /// Takes an input, at once or when the present writes are done. The answer says when writes that were begun will be done.
-    pub fn take(
+    /// Handles an input, or queues it while writes are in progress. Returns when the writes that it began will be done, if any.
+    pub fn handle_input(
         &mut self,
         now: Micros,
         input: Input,
-        chance: &mut Chance,
-        out: &mut Vec<Leaving>,
+        rng: &mut SeededRng,
+        outputs: &mut Vec<Output>,
     ) -> Option<Micros> {
         let process = self.process.as_mut()?;
         if process.writing.is_some() {
-            let skipped = matches!(input, Input::Tick) || process.inbox.len() >= MOST_WAITING;
+            let skipped = matches!(input, Input::Tick) || process.inbox.len() >= MAX_INBOX_LENGTH;
             if !skipped {
                 process.inbox.push_back(input);
             }
             return None;
         }
-        process.run(now, input, self.plant, out);
-        self.begin_writes(now, chance, out)
+        process.run(now, input, self.bug, outputs);
+        self.begin_writes(now, rng, outputs)
     }
 
-    /// The present writes are done.
-    pub fn written(&mut self, now: Micros, chance: &mut Chance, out: &mut Vec<Leaving>) -> Option<Micros> {
+    /// Completes the writes in progress, sends the messages that waited for them, and handles queued inputs until one begins writes.
+    /// Returns when those will be done.
+    pub fn finish_writes(
+        &mut self,
+        now: Micros,
+        rng: &mut SeededRng,
+        outputs: &mut Vec<Output>,
+    ) -> Option<Micros> {
         let writing = self.process.as_mut()?.writing.take()?;
-        self.put(writing.value, writing.record);
+        self.apply_writes(writing.value, writing.record);
         let process = self.process.as_mut()?;
-        out.extend(writing.sends.into_iter().map(|(to, message)| Leaving::Message(to, message)));
-        process.look_at_open(now, self.plant, out);
+        outputs.extend(writing.sends.into_iter().map(|(to, message)| Output::Message(to, message)));
+        process.answer_pending_calls(now, self.bug, outputs);
         loop {
-            if let Some(done) = self.begin_writes(now, chance, out) {
+            if let Some(done) = self.begin_writes(now, rng, outputs) {
                 return Some(done);
             }
             let process = self.process.as_mut()?;
             let input = process.inbox.pop_front()?;
-            process.run(now, input, self.plant, out);
+            process.run(now, input, self.bug, outputs);
         }
     }
 
-    fn begin_writes(&mut self, now: Micros, chance: &mut Chance, out: &mut Vec<Leaving>) -> Option<Micros> {
-        let (until, times) = self.slow_disk;
-        let plant = self.plant;
+    /// Returns when the pending writes will be done; without any, sends the messages at once and returns `None`.
+    fn begin_writes(
+        &mut self,
+        now: Micros,
+        rng: &mut SeededRng,
+        outputs: &mut Vec<Output>,
+    ) -> Option<Micros> {
+        let (until, times) = self.disk_slowdown;
+        let bug = self.bug;
         let process = self.process.as_mut()?;
         let writing = process.writing.as_mut()?;
-        if plant == Some(Plant::SentBeforeWritten) {
-            out.extend(writing.sends.drain(..).map(|(to, message)| Leaving::Message(to, message)));
+        if bug == Some(SimulationBug::SentBeforeWritten) {
+            outputs.extend(writing.sends.drain(..).map(|(to, message)| Output::Message(to, message)));
         }
         let parts = u64::from(writing.value.is_some()) + u64::from(writing.record.is_some());
         if parts == 0 {
             let sends = std::mem::take(&mut writing.sends);
             process.writing = None;
-            out.extend(sends.into_iter().map(|(to, message)| Leaving::Message(to, message)));
-            process.look_at_open(now, plant, out);
-            return self.begin_writes(now, chance, out);
+            outputs.extend(sends.into_iter().map(|(to, message)| Output::Message(to, message)));
+            process.answer_pending_calls(now, bug, outputs);
+            return self.begin_writes(now, rng, outputs);
         }
-        let one = chance.between(WRITE.0, WRITE.1);
+        let write_time = rng.between(WRITE_TIME.0, WRITE_TIME.1);
         let done = match now < until {
-            true if times == 0 => until + one * parts,
-            true => now + one * parts * times,
-            false => now + one * parts,
+            true if times == 0 => until + write_time * parts,
+            true => now + write_time * parts * times,
+            false => now + write_time * parts,
         };
         Some(done)
     }
 }
 
 impl Process {
-    fn run(&mut self, now: Micros, input: Input, plant: Option<Plant>, out: &mut Vec<Leaving>) {
+    fn run(&mut self, now: Micros, input: Input, bug: Option<SimulationBug>, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick => {
-                let outcome = self.coordinator.tick(time(now));
-                self.perform(outcome);
+                let effects = self.coordinator.tick(time(now));
+                self.perform(effects);
             }
             Input::Message(from, message) => {
-                let outcome = self.coordinator.handle(time(now), &from, *message);
-                self.perform(outcome);
+                let effects = self.coordinator.handle(time(now), &from, *message);
+                self.perform(effects);
             }
-            Input::Call(call) => self.call(now, call, out),
+            Input::Call(call) => self.call(now, call, outputs),
         }
         if self.writing.is_none() {
-            self.look_at_open(now, plant, out);
+            self.answer_pending_calls(now, bug, outputs);
         }
     }
 
-    /// What is to be written and sent; several outcomes of one input are joined.
-    fn perform(&mut self, outcome: Effects) {
+    /// Collects what is to be written and sent; the effects of one input are merged.
+    fn perform(&mut self, effects: Effects) {
         let replica = self.coordinator.replica();
-        let value = outcome.write_value.then(|| (replica.version(), replica.value().clone()));
-        let record = outcome.write_record.then(|| replica.record().clone());
+        let value = effects.write_value.then(|| (replica.version(), replica.value().clone()));
+        let record = effects.write_record.then(|| replica.record().clone());
         match &mut self.writing {
             Some(writing) => {
                 writing.value = value.or(writing.value.take());
                 writing.record = record.or(writing.record.take());
-                writing.sends.extend(outcome.sends);
+                writing.sends.extend(effects.sends);
             }
-            None => self.writing = Some(Writing { value, record, sends: outcome.sends }),
+            None => self.writing = Some(WriteInProgress { value, record, sends: effects.sends }),
         }
     }
 
-    fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Leaving>) {
+    /// Forwards a call to the head or the tail, or adds it to the pending calls if this machine is that one.
+    fn call(&mut self, now: Micros, call: Call, outputs: &mut Vec<Output>) {
         let replica = self.coordinator.replica();
         let view = replica.latest_view();
-        let (wanted, waiting) = match call.ask {
-            Ask::Order(order) => (view.head(), Waiting::Turn(order)),
-            Ask::Read => (view.tail(), Waiting::Turn(Order { base: 0, generation: 0, content: 0 })),
+        let (target, state) = match call.ask {
+            Ask::Order(order) => (view.head(), CallState::Turn(order)),
+            Ask::Read => (view.tail(), CallState::Turn(Order { base: 0, generation: 0, content: 0 })),
         };
-        let Some(wanted) = wanted else { return out.push(Leaving::Answer(call, Answer::Unsure)) };
-        if wanted.identity != replica.own_member().identity {
-            return out.push(Leaving::Forward(wanted.peer, call));
+        let Some(target) = target else { return outputs.push(Output::Answer(call, Answer::Unsure)) };
+        if target.identity != replica.own_member().identity {
+            return outputs.push(Output::Forward(target.peer, call));
         }
-        let waiting = match call.ask {
+        let state = match call.ask {
             Ask::Read => {
-                let (question, outcome) = self.coordinator.start_quorum_check(time(now));
-                self.perform(outcome);
-                Waiting::Read(question)
+                let (quorum_check, effects) = self.coordinator.start_quorum_check(time(now));
+                self.perform(effects);
+                CallState::Read(quorum_check)
             }
-            Ask::Order(_) => waiting,
+            Ask::Order(_) => state,
         };
-        self.open.push(Open { call, since: now, waiting });
+        self.pending_calls.push(PendingCall { call, since: now, state });
     }
 
-    /// Answers what can be answered.
-    fn look_at_open(&mut self, now: Micros, plant: Option<Plant>, out: &mut Vec<Leaving>) {
-        for at in (0..self.open.len()).rev() {
-            if let Some(answer) = self.progress(now, at, plant) {
-                out.push(Leaving::Answer(self.open.remove(at).call, answer));
+    /// Answers the pending calls whose outcome is known or that have timed out.
+    fn answer_pending_calls(&mut self, now: Micros, bug: Option<SimulationBug>, outputs: &mut Vec<Output>) {
+        for index in (0..self.pending_calls.len()).rev() {
+            if let Some(answer) = self.progress(now, index, bug) {
+                outputs.push(Output::Answer(self.pending_calls.remove(index).call, answer));
             }
         }
     }
 
-    fn progress(&mut self, now: Micros, at: usize, plant: Option<Plant>) -> Option<Answer> {
-        let waited = now - self.open[at].since;
-        match self.open[at].waiting {
-            Waiting::Turn(order) => self.take_turn(now, at, order, waited, plant),
-            Waiting::Write(version) => {
+    /// Returns the answer to a pending call, if there is one already.
+    fn progress(&mut self, now: Micros, index: usize, bug: Option<SimulationBug>) -> Option<Answer> {
+        let elapsed = now - self.pending_calls[index].since;
+        match self.pending_calls[index].state {
+            CallState::Turn(order) => self.take_turn(now, index, order, elapsed, bug),
+            CallState::Write(version) => {
                 let place = version.sequence;
                 match self.coordinator.write_progress(version) {
-                    _ if plant == Some(Plant::AcknowledgedEarly) => Some(Answer::Acknowledged { place }),
+                    _ if bug == Some(SimulationBug::AcknowledgedEarly) => {
+                        Some(Answer::Acknowledged { place })
+                    }
                     Progress::Done => Some(Answer::Acknowledged { place }),
                     Progress::Superseded => Some(Answer::Unsure),
-                    Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+                    Progress::Pending => (elapsed > CALL_TIMEOUT).then_some(Answer::Unsure),
                 }
             }
-            Waiting::Refusal(question) => match self.coordinator.quorum_check_progress(question) {
+            CallState::Refusal(quorum_check) => match self.coordinator.quorum_check_progress(quorum_check) {
                 Progress::Done => Some(Answer::Conflict),
                 Progress::Superseded => Some(Answer::Unsure),
-                Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+                Progress::Pending => (elapsed > CALL_TIMEOUT).then_some(Answer::Unsure),
             },
-            Waiting::Read(question) => self.read(question, waited, plant),
+            CallState::Read(quorum_check) => self.read(quorum_check, elapsed, bug),
         }
     }
 
     fn take_turn(
         &mut self,
         now: Micros,
-        at: usize,
+        index: usize,
         order: Order,
-        waited: Micros,
-        plant: Option<Plant>,
+        elapsed: Micros,
+        bug: Option<SimulationBug>,
     ) -> Option<Answer> {
         let replica = self.coordinator.replica();
         if replica.check_writable().is_err() {
-            return (waited > TURN_PATIENCE || !replica.is_head()).then_some(Answer::Unsure);
+            return (elapsed > TURN_TIMEOUT || !replica.is_head()).then_some(Answer::Unsure);
         }
         let place = replica.version().sequence;
         let decision = match replica.value().decide(&order) {
-            Decision::Known if plant == Some(Plant::OrdersAreForgotten) => Decision::Conflict,
+            Decision::AlreadyApplied if bug == Some(SimulationBug::OrdersAreForgotten) => Decision::Conflict,
             decision => decision,
         };
         match decision {
-            Decision::Known => Some(Answer::Acknowledged { place }),
-            Decision::Forgotten => Some(Answer::Unsure),
-            Decision::Conflict if plant == Some(Plant::RefusalWithoutContact) => Some(Answer::Conflict),
+            Decision::AlreadyApplied => Some(Answer::Acknowledged { place }),
+            Decision::Undetermined => Some(Answer::Unsure),
+            Decision::Conflict if bug == Some(SimulationBug::RefusalWithoutContact) => Some(Answer::Conflict),
             Decision::Conflict => {
-                let (question, outcome) = self.coordinator.start_quorum_check(time(now));
-                self.perform(outcome);
-                self.open[at].waiting = Waiting::Refusal(question);
+                let (quorum_check, effects) = self.coordinator.start_quorum_check(time(now));
+                self.perform(effects);
+                self.pending_calls[index].state = CallState::Refusal(quorum_check);
                 None
             }
             Decision::New => {
-                let (version, outcome) = self.coordinator.write(time(now), order.encode()).ok()?;
-                self.perform(outcome);
-                self.open[at].waiting = Waiting::Write(version);
+                let (version, effects) = self.coordinator.write(time(now), order.encode()).ok()?;
+                self.perform(effects);
+                self.pending_calls[index].state = CallState::Write(version);
                 None
             }
         }
     }
 
-    fn read(&mut self, question: QuorumCheck, waited: Micros, plant: Option<Plant>) -> Option<Answer> {
+    fn read(
+        &mut self,
+        quorum_check: QuorumCheck,
+        elapsed: Micros,
+        bug: Option<SimulationBug>,
+    ) -> Option<Answer> {
         let replica = self.coordinator.replica();
-        let value = |ledger: &Ledger| Answer::Value {
+        let value = |ledger: &SimulatedConfig| Answer::Value {
             generation: ledger.generation,
             place: replica.version().sequence,
         };
-        if plant == Some(Plant::AnyLinkAnswersReads) {
+        if bug == Some(SimulationBug::AnyLinkAnswersReads) {
             return Some(value(replica.value()));
         }
-        match self.coordinator.quorum_check_progress(question) {
+        match self.coordinator.quorum_check_progress(quorum_check) {
             Progress::Done => Some(self.coordinator.readable_value().map_or(Answer::Unsure, |it| value(it))),
             Progress::Superseded => Some(Answer::Unsure),
-            Progress::Pending => (waited > CALL_PATIENCE).then_some(Answer::Unsure),
+            Progress::Pending => (elapsed > CALL_TIMEOUT).then_some(Answer::Unsure),
         }
     }
 }
 
+/// Converts simulated time for the state machines.
 fn time(now: Micros) -> Duration {
     Duration::from_micros(now)
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{bail, Context};
 use fennelgauge_simulation::{
-    on_threads, play, play_and_print, shrunk, Day, Exhaustive, Family, Grain, Plant,
+    play, play_and_print, play_days_on_threads, shrink_day, Day, Exhaustive, Family, Grain, SimulationBug,
 };
 
 const HELP: &str = "fennelgauge-simulate days [--from N] [--count N] [--family NAME] [--threads N]
@@ -95,7 +95,7 @@
 fn play_days(from: u64, count: u64, family: Option<Family>, threads: u64) -> anyhow::Result<()> {
     let began = Instant::now();
     let sums = Mutex::new(Sums::default());
-    on_threads(
+    play_days_on_threads(
         from,
         count,
         threads,
@@ -139,7 +139,7 @@
     sums.broken.sort_by_key(|day| day.seed);
     for day in sums.broken.iter().take(SHOWN) {
         let rule = play(day, None).broken[0].rule;
-        show(&shrunk(day, rule, None));
+        show(&shrink_day(day, rule, None));
     }
     match sums.broken.is_empty() {
         true => Ok(()),
@@ -166,7 +166,7 @@
         played.acknowledgements, played.refusals, played.reads, played.views, played.trace
     );
     for broken in played.broken.iter().take(8) {
-        println!("  BROKEN {} at {} ms: {}", broken.rule, broken.at / 1_000, broken.what);
+        println!("  BROKEN {} at {} ms: {}", broken.rule, broken.at / 1_000, broken.description);
     }
 }
 
@@ -184,8 +184,8 @@
 }
 
 fn exhaust_planted(events: u8, threads: usize) -> anyhow::Result<()> {
-    for plant in Plant::all() {
-        let Plant::Core(bug) = plant else { continue };
+    for plant in SimulationBug::all() {
+        let SimulationBug::Core(bug) = plant else { continue };
         for grain in [Grain::Message, Grain::Partition] {
             let searched = Exhaustive { planted: Some(bug), grain, events }.search(threads);
             match searched.broken {
@@ -199,9 +199,9 @@
 
 fn find_planted(most: u64, threads: u64) -> anyhow::Result<()> {
     let mut missed = Vec::new();
-    for plant in Plant::all() {
+    for plant in SimulationBug::all() {
         let found = Mutex::new(None);
-        on_threads(1, most, threads, Day::drawn, Some(plant), |day, played| {
+        play_days_on_threads(1, most, threads, Day::drawn, Some(plant), |day, played| {
             let Some(first) = played.broken.first() else { return true };
             if let Ok(mut found) = found.lock() {
                 let earlier = found.as_ref().is_none_or(|(seed, _)| day.seed < *seed);
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,87 +1,105 @@
-//! Operators: each sends one order at a time, to any machine, and again until the answer is clear.
+//! Simulated operators. Each sends one order at a time to a random machine, and repeats it until it receives a definite answer.
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND};
 use crate::ledger::Order;
 
-/// What is asked of a machine.
+/// A request of an operator to a machine. It is printed in traces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
+    /// Change the configuration.
     Order(Order),
+    /// Read the current generation.
     Read,
 }
 
-/// What is answered.
+/// The response of a machine to an operator. It is printed in traces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// At this place in the history, or before it.
+    /// The order is committed.
     Acknowledged {
+        /// The sequence number at which the order was committed, or a later one.
         place: u64,
     },
+    /// The order is rejected: it is based on an outdated generation.
     Conflict,
+    /// The response to a read.
     Value {
         generation: u64,
+        /// The sequence number of the version that was read.
         place: u64,
     },
-    /// Nothing is said: ask again.
+    /// The outcome is unknown: send the request again.
     Unsure,
 }
 
-/// Silence is waited for so long.
-pub const PATIENCE: Micros = 1_000 * MILLISECOND;
+/// Time without a response after which an operator sends its request again.
+pub const RESPONSE_TIMEOUT: Micros = 1_000 * MILLISECOND;
 
-/// One operator.
+/// A simulated operator.
 #[derive(Debug)]
 pub struct Operator {
-    /// The generation that it builds on.
-    base: u64,
-    /// Sent and not clearly answered.
-    order: Option<Order>,
-    /// The newest question; answers to earlier ones are passed over.
+    /// The generation that the next order is based on.
+    base_generation: u64,
+    /// The order that was sent and has no definite answer yet.
+    pending_order: Option<Order>,
+    /// Number of the latest request; responses to earlier ones are ignored.
     pub attempt: u64,
-    /// What was acknowledged when the question was asked.
-    pub floor: u64,
-    tries: u64,
-    /// After a refusal the base has to be read first.
-    knows_base: bool,
+    /// The lowest sequence number that a response to the latest request may have been read at.
+    pub min_read_position: u64,
+    /// Requests sent since the last definite answer.
+    attempts_since_answer: u64,
+    /// False after a rejection, until the current generation was read.
+    is_base_known: bool,
+    /// The operator never sends orders.
     pub only_reads: bool,
 }
 
 impl Operator {
+    /// Creates an operator that bases its first order on generation 0.
     pub fn new(only_reads: bool) -> Self {
-        Self { base: 0, order: None, attempt: 0, floor: 0, tries: 0, knows_base: true, only_reads }
+        Self {
+            base_generation: 0,
+            pending_order: None,
+            attempt: 0,
+            min_read_position: 0,
+            attempts_since_answer: 0,
+            is_base_known: true,
+            only_reads,
+        }
     }
 
-    /// What it asks next.
-    pub fn ask(&mut self, chance: &mut Chance) -> Ask {
+    /// Returns the next request: a read, the pending order again, or a new random order.
+    pub fn ask(&mut self, rng: &mut SeededRng) -> Ask {
         self.attempt += 1;
-        self.tries += 1;
-        if self.only_reads || !self.knows_base {
+        self.attempts_since_answer += 1;
+        if self.only_reads || !self.is_base_known {
             return Ask::Read;
         }
-        let base = self.base;
-        let order = self.order.get_or_insert_with(|| Order {
+        let base = self.base_generation;
+        let order = self.pending_order.get_or_insert_with(|| Order {
             base,
-            generation: base + 1 + chance.below(3) as u64,
-            content: chance.number(),
+            generation: base + 1 + rng.below(3) as u64,
+            content: rng.next_u64(),
         });
         Ask::Order(*order)
     }
 
-    pub fn current_order(&self) -> Option<Order> {
-        self.order
+    /// Returns the order that was sent and has no definite answer yet.
+    pub fn pending_order(&self) -> Option<Order> {
+        self.pending_order
     }
 
-    /// The order is over, taken or refused, or a read was answered; the generation that is current now, where it is known.
+    /// Records a definite answer to an order or a read, with the current generation if the answer tells it.
     pub fn finish(&mut self, generation: Option<u64>) {
-        self.order = None;
-        self.tries = 0;
-        self.knows_base = generation.is_some();
-        self.base = generation.unwrap_or(self.base);
+        self.pending_order = None;
+        self.attempts_since_answer = 0;
+        self.is_base_known = generation.is_some();
+        self.base_generation = generation.unwrap_or(self.base_generation);
     }
 
-    /// A growing pause after an answer that was none.
-    pub fn pause(&self, chance: &mut Chance) -> Micros {
-        chance.between(20, 60 + 60 * self.tries.min(8)) * MILLISECOND
+    /// Returns a random delay before the next attempt, which grows with the number of attempts.
+    pub fn retry_delay(&self, rng: &mut SeededRng) -> Micros {
+        rng.between(20, 60 + 60 * self.attempts_since_answer.min(8)) * MILLISECOND
     }
 }
--- a/crates/simulation/src/plant.rs
+++ b/crates/simulation/src/plant.rs
@@ -1,30 +1,32 @@
-//! Mistakes that are switched on to see that the judge finds them.
+//! Bugs that can be enabled to verify that the checker detects them. Their names are printed.
 
 use fennelgauge_coordination::PlantedBug;
 
-/// A mistake: of the state machines, of a disk, or of the process around them.
+/// A planted bug of the state machines, of a disk, or of the process that runs the state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SimulationBug {
+    /// A bug of the state machines of `fennelgauge-coordination`.
     Core(PlantedBug),
-    /// Messages leave before what they rest on is on the disk.
+    /// Messages are sent before the state that they depend on is written to the disk.
     SentBeforeWritten,
-    /// After a restart the record before the newest is read.
+    /// After a restart the voting record from before the last write is read.
     OldRecordIsRead,
-    /// After a restart the value before the newest is read.
+    /// After a restart the value and version from before the last write are read.
     OldValueIsRead,
-    /// A machine whose disk was lost goes on under its old identity.
+    /// A machine whose disk was lost keeps its old identity.
     WipedKeepsIdentity,
-    /// Any link of the chain answers reads with what it has.
+    /// Reads are answered with the local value, without confirmation by a quorum.
     AnyLinkAnswersReads,
-    /// A head refuses without asking a majority whether it still is the head.
+    /// A head rejects an order without a quorum check that it is still the head.
     RefusalWithoutContact,
-    /// An order that was sent again is not known.
+    /// An order that was already applied is rejected with a conflict when it is sent again.
     OrdersAreForgotten,
-    /// An order is acknowledged once it is on its way.
+    /// An order is acknowledged before it is committed.
     AcknowledgedEarly,
 }
 
-impl Plant {
+impl SimulationBug {
+    /// Returns all planted bugs that the simulation of the core can enable.
     pub fn all() -> Vec<Self> {
         use PlantedBug::*;
         let core = [
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,31 +1,33 @@
-//! Makes a broken day smaller: leaves troubles out for as long as the same rule is broken.
+//! Reduces a day that violates a rule to the faults that are needed to violate it.
 
 use crate::day::Day;
 use crate::judge::Rule;
-use crate::plant::Plant;
+use crate::plant::SimulationBug;
 use crate::world::play;
 
-/// The day without the troubles that the broken rule does not need.
-pub fn shrunk(day: &Day, rule: Rule, plant: Option<Plant>) -> Day {
-    let breaks = |day: &Day| play(day, plant).broken.iter().any(|broken| broken.rule == rule);
+/// Returns the day without the faults that are not needed to violate `rule`.
+pub fn shrink_day(day: &Day, rule: Rule, bug: Option<SimulationBug>) -> Day {
+    let violates = |day: &Day| play(day, bug).broken.iter().any(|broken| broken.rule == rule);
     let mut smallest = day.clone();
-    smallest.strikes = fewest(day.strikes.clone(), |strikes| breaks(&Day { strikes, ..day.clone() }));
-    let mut no_wipes = smallest.clone();
-    no_wipes.closing_wipes.clear();
-    if !smallest.closing_wipes.is_empty() && breaks(&no_wipes) {
-        smallest = no_wipes;
+    smallest.strikes =
+        minimize_faults(day.strikes.clone(), |strikes| violates(&Day { strikes, ..day.clone() }));
+    let mut without_wipes = smallest.clone();
+    without_wipes.closing_wipes.clear();
+    if !smallest.closing_wipes.is_empty() && violates(&without_wipes) {
+        smallest = without_wipes;
     }
     smallest
 }
 
-/// The strikes that are left when each is left out, from the last to the first, without which the rule is still broken.
-pub fn fewest<S: Clone>(mut strikes: Vec<S>, breaks: impl Fn(Vec<S>) -> bool) -> Vec<S> {
-    for at in (0..strikes.len()).rev() {
-        let mut fewer = strikes.clone();
-        fewer.remove(at);
-        if breaks(fewer.clone()) {
-            strikes = fewer;
+/// Tries to remove each fault once, from the last to the first, and keeps it removed if `violates` still returns true for the
+/// rest. Returns the remaining faults.
+pub fn minimize_faults<S: Clone>(mut faults: Vec<S>, violates: impl Fn(Vec<S>) -> bool) -> Vec<S> {
+    for index in (0..faults.len()).rev() {
+        let mut fewer = faults.clone();
+        fewer.remove(index);
+        if violates(fewer.clone()) {
+            faults = fewer;
         }
     }
-    strikes
+    faults
 }
--- a/crates/simulation/src/stores/client.rs
+++ b/crates/simulation/src/stores/client.rs
@@ -4,7 +4,7 @@
 use fennelgauge_batch_judge::{ListedResult, Outcome, ResultPage, SubmittedItem, SubmittedJob};
 use fennelgauge_coordination::GroupNumber;
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND};
 
 /// Tokens of one item, and how many a tenant may have queued.
@@ -36,7 +36,7 @@
         Self { duty, waits_for: None, asked: 0, plane: 0, made: 0 }
     }
 
-    pub fn new_job(&mut self, tenant: usize, most_items: usize, chance: &mut Chance) -> Job {
+    pub fn new_job(&mut self, tenant: usize, most_items: usize, chance: &mut SeededRng) -> Job {
         self.made += 1;
         let id = format!("job-{tenant}-{}", self.made);
         let item = |place: usize| Item {
--- a/crates/simulation/src/stores/day.rs
+++ b/crates/simulation/src/stores/day.rs
@@ -4,7 +4,7 @@
 
 use super::moment::{Aimed, Blow, Moment, Whom};
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND, SECOND};
 
 const FIRST_TROUBLE: Micros = 4 * SECOND;
@@ -241,7 +241,7 @@
     }
 
     pub fn of_family(seed: u64, family: StoreFamily) -> Self {
-        let mut chance = Chance::new(seed ^ 0x7374_6f72);
+        let mut chance = SeededRng::new(seed ^ 0x7374_6f72);
         let losses = 1 + chance.below(2);
         let stores = losses + 3 + chance.below(7 - losses);
         let zones = 2 + chance.below(3);
@@ -293,32 +293,32 @@
         }
     }
 
-    fn trouble(&self, chance: &mut Chance) -> StoreTrouble {
+    fn trouble(&self, chance: &mut SeededRng) -> StoreTrouble {
         let kind = match self.family {
             StoreFamily::GivenUp => return self.of_given_up(chance),
-            StoreFamily::Aimed if chance.in_thousand(650) => return Self::aimed(chance),
-            StoreFamily::Aimed if chance.in_thousand(500) => return self.kill(chance, self.losses),
-            StoreFamily::Disks if chance.in_thousand(700) => return self.of_disks(chance),
-            StoreFamily::Behind if chance.in_thousand(600) => return self.of_behind(chance),
-            _ if chance.in_thousand(100) => return self.of_configuration(chance),
-            _ if chance.in_thousand(100) => return Self::aimed(chance),
+            StoreFamily::Aimed if chance.per_mille(650) => return Self::aimed(chance),
+            StoreFamily::Aimed if chance.per_mille(500) => return self.kill(chance, self.losses),
+            StoreFamily::Disks if chance.per_mille(700) => return self.of_disks(chance),
+            StoreFamily::Behind if chance.per_mille(600) => return self.of_behind(chance),
+            _ if chance.per_mille(100) => return self.of_configuration(chance),
+            _ if chance.per_mille(100) => return Self::aimed(chance),
             StoreFamily::Mixed | StoreFamily::Aimed | StoreFamily::Disks | StoreFamily::Behind => {
                 chance.below(100)
             }
-            _ if chance.in_thousand(250) => chance.below(100),
-            _ if chance.in_thousand(200) => return self.at_view(chance),
+            _ if chance.per_mille(250) => chance.below(100),
+            _ if chance.per_mille(200) => return self.at_view(chance),
             StoreFamily::Overlap => return self.kill(chance, self.losses + 2),
-            StoreFamily::AllDark if chance.in_thousand(350) => return self.all_dark(chance),
+            StoreFamily::AllDark if chance.per_mille(350) => return self.all_dark(chance),
             StoreFamily::AllDark => return self.kill(chance, self.losses),
             StoreFamily::Halves => 30 + chance.below(25),
             StoreFamily::Flap => {
                 let store = chance.below(2);
-                return match chance.in_thousand(600) {
+                return match chance.per_mille(600) {
                     true => StoreTrouble::Kill { stores: vec![store], for_: short(chance) },
                     false => StoreTrouble::Freeze { store, for_: short(chance) },
                 };
             }
-            StoreFamily::Repair if chance.in_thousand(500) => 80 + chance.below(20),
+            StoreFamily::Repair if chance.per_mille(500) => 80 + chance.below(20),
             StoreFamily::Repair => return self.kill(chance, self.losses),
             StoreFamily::HeadFreeze => 15 + chance.below(15),
         };
@@ -327,13 +327,13 @@
             0..=9 => self.kill(chance, self.losses + 1),
             10..=14 => StoreTrouble::Freeze { store, for_: short(chance) },
             15..=21 => StoreTrouble::FreezeHead { for_: short(chance) },
-            22..=25 => StoreTrouble::StrikeReader { for_: short(chance), kill: chance.in_thousand(500) },
+            22..=25 => StoreTrouble::StrikeReader { for_: short(chance), kill: chance.per_mille(500) },
             26..=27 => StoreTrouble::StaleTail { plane: chance.below(3), for_: 2 * short(chance) },
             28..=29 => StoreTrouble::StalePlane { plane: chance.below(3), for_: 2 * short(chance) },
             30..=40 => {
                 let size = 1 + chance.below(self.stores / 2 + 1);
                 let inside = self.some(chance, size);
-                StoreTrouble::Cut { inside, for_: short(chance), one_way: chance.in_thousand(350) }
+                StoreTrouble::Cut { inside, for_: short(chance), one_way: chance.per_mille(350) }
             }
             41..=48 => {
                 let stores = self.some(chance, self.losses + 1);
@@ -342,7 +342,7 @@
             49..=54 => StoreTrouble::CoreDark { for_: short(chance) },
             55..=59 => StoreTrouble::Lossy { for_: short(chance), lost: chance.between(50, 400) },
             60..=64 => {
-                let most = if chance.in_thousand(150) { 9 * SECOND } else { 2 * SECOND };
+                let most = if chance.per_mille(150) { 9 * SECOND } else { 2 * SECOND };
                 let delay = chance.between(20 * MILLISECOND, most);
                 StoreTrouble::SlowLink { store, for_: short(chance), delay }
             }
@@ -355,11 +355,11 @@
         }
     }
 
-    fn aimed(chance: &mut Chance) -> StoreTrouble {
-        if chance.in_thousand(80) {
+    fn aimed(chance: &mut SeededRng) -> StoreTrouble {
+        if chance.per_mille(80) {
             return StoreTrouble::FirstWord { for_: short(chance), whom: one_of(chance) };
         }
-        if chance.in_thousand(120) {
+        if chance.per_mille(120) {
             return StoreTrouble::BetweenLookAndWord { rank: chance.below(4), for_: short(chance) };
         }
         StoreTrouble::AtMoment(Aimed {
@@ -371,7 +371,7 @@
         })
     }
 
-    fn of_disks(&self, chance: &mut Chance) -> StoreTrouble {
+    fn of_disks(&self, chance: &mut SeededRng) -> StoreTrouble {
         let (store, for_) = (chance.below(self.stores), short(chance));
         match chance.below(4) {
             0 => StoreTrouble::FullDisk { store, for_ },
@@ -381,19 +381,19 @@
         }
     }
 
-    fn of_behind(&self, chance: &mut Chance) -> StoreTrouble {
+    fn of_behind(&self, chance: &mut SeededRng) -> StoreTrouble {
         let entries = [0, 1, 24, 25, 600];
         match chance.below(7) {
             5 | 6 => {
                 let late = chance.between(200 * MILLISECOND, 2_500 * MILLISECOND);
                 StoreTrouble::LateCopy { entries: 600, for_: late }
             }
-            0 | 1 => StoreTrouble::Behind { entries: chance.pick(&entries).copied().unwrap_or(0) },
+            0 | 1 => StoreTrouble::Behind { entries: chance.choose(&entries).copied().unwrap_or(0) },
             2 => StoreTrouble::Wipe { store: chance.below(self.stores), for_: short(chance) },
             3 => StoreTrouble::AtMoment(Aimed {
-                moment: if chance.in_thousand(500) { Moment::CopySent } else { Moment::Copied },
+                moment: if chance.per_mille(500) { Moment::CopySent } else { Moment::Copied },
                 passes: chance.below(2),
-                blow: if chance.in_thousand(600) { Blow::LateMessage } else { one_of(chance) },
+                blow: if chance.per_mille(600) { Blow::LateMessage } else { one_of(chance) },
                 whom: one_of(chance),
                 for_: short(chance),
             }),
@@ -401,16 +401,16 @@
         }
     }
 
-    fn of_given_up(&self, chance: &mut Chance) -> StoreTrouble {
+    fn of_given_up(&self, chance: &mut SeededRng) -> StoreTrouble {
         match chance.below(10) {
             0..=3 => StoreTrouble::LoseGroup {
-                cut_off: chance.in_thousand(500),
+                cut_off: chance.per_mille(500),
                 for_: chance.between(GIVE_UP_AFTER, 3 * GIVE_UP_AFTER),
             },
             4 => StoreTrouble::AtMoment(Aimed {
                 moment: Moment::BegunAnew,
                 passes: 0,
-                blow: if chance.in_thousand(500) { Blow::Kill } else { Blow::Cut },
+                blow: if chance.per_mille(500) { Blow::Kill } else { Blow::Cut },
                 whom: one_of(chance),
                 for_: short(chance),
             }),
@@ -421,31 +421,31 @@
         }
     }
 
-    fn of_configuration(&self, chance: &mut Chance) -> StoreTrouble {
-        match chance.in_thousand(500) {
+    fn of_configuration(&self, chance: &mut SeededRng) -> StoreTrouble {
+        match chance.per_mille(500) {
             true => StoreTrouble::Quota { most: chance.between(60, 400) },
             false => StoreTrouble::TenantAway { tenant: chance.below(self.tenants), for_: 2 * short(chance) },
         }
     }
 
-    fn kill(&self, chance: &mut Chance, most: usize) -> StoreTrouble {
+    fn kill(&self, chance: &mut SeededRng, most: usize) -> StoreTrouble {
         let size = 1 + chance.below(most);
         StoreTrouble::Kill { stores: self.some(chance, size), for_: short(chance) }
     }
 
-    fn at_view(&self, chance: &mut Chance) -> StoreTrouble {
+    fn at_view(&self, chance: &mut SeededRng) -> StoreTrouble {
         let ways: Vec<AtView> = AtView::iter().collect();
-        let how = chance.pick(&ways).copied().unwrap_or(AtView::Kill);
+        let how = chance.choose(&ways).copied().unwrap_or(AtView::Kill);
         StoreTrouble::StrikeAtView { for_: short(chance), how, rank: chance.below(self.losses + 3) }
     }
 
-    fn all_dark(&self, chance: &mut Chance) -> StoreTrouble {
+    fn all_dark(&self, chance: &mut SeededRng) -> StoreTrouble {
         let apart = chance.between(0, 1_500 * MILLISECOND);
         let back = (0..self.stores).map(|_| chance.between(0, 1 + apart * self.stores as u64 / 2));
         StoreTrouble::AllDark { back: back.map(|more| 300 * MILLISECOND + more).collect() }
     }
 
-    fn some(&self, chance: &mut Chance, size: usize) -> Vec<usize> {
+    fn some(&self, chance: &mut SeededRng, size: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.stores).collect();
         let mut some = Vec::new();
         for _ in 0..size.min(self.stores) {
@@ -456,14 +456,14 @@
 }
 
 /// One of all ways.
-fn one_of<T: IntoEnumIterator + Copy>(chance: &mut Chance) -> T {
+fn one_of<T: IntoEnumIterator + Copy>(chance: &mut SeededRng) -> T {
     let all: Vec<T> = T::iter().collect();
     all[chance.below(all.len())]
 }
 
 /// Around the time after which a silent store is put out.
-fn short(chance: &mut Chance) -> Micros {
-    match chance.in_thousand(700) {
+fn short(chance: &mut SeededRng) -> Micros {
+    match chance.per_mille(700) {
         true => chance.between(200 * MILLISECOND, 2_000 * MILLISECOND),
         false => chance.between(1_000 * MILLISECOND, 4_000 * MILLISECOND),
     }
--- a/crates/simulation/src/stores/disk.rs
+++ b/crates/simulation/src/stores/disk.rs
@@ -6,7 +6,7 @@
 use fennelgauge_coordination::GroupNumber;
 use fennelgauge_replication::{Entry, GroupSnapshot};
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND};
 
 const SYNC: (Micros, Micros) = (2 * MILLISECOND, 14 * MILLISECOND);
@@ -48,12 +48,17 @@
 
 impl Disk {
     /// Hands records over; gives the number of the write and when it is done.
-    pub fn write(&mut self, now: Micros, records: Vec<Record>, chance: &mut Chance) -> (u64, Micros) {
+    pub fn write(&mut self, now: Micros, records: Vec<Record>, chance: &mut SeededRng) -> (u64, Micros) {
         self.hand_over(now, records, false, chance)
     }
 
     /// The same, of all that counts.
-    pub fn write_whole(&mut self, now: Micros, records: Vec<Record>, chance: &mut Chance) -> (u64, Micros) {
+    pub fn write_whole(
+        &mut self,
+        now: Micros,
+        records: Vec<Record>,
+        chance: &mut SeededRng,
+    ) -> (u64, Micros) {
         self.hand_over(now, records, true, chance)
     }
 
@@ -62,7 +67,7 @@
         now: Micros,
         records: Vec<Record>,
         whole: bool,
-        chance: &mut Chance,
+        chance: &mut SeededRng,
     ) -> (u64, Micros) {
         let times = self.slow.filter(|(until, _)| now < *until).map_or(1, |(_, times)| times);
         let sync = self.fixed_sync.unwrap_or_else(|| chance.between(SYNC.0, SYNC.1));
@@ -144,7 +149,7 @@
     }
 
     /// The process ends: of the writes that were not done, the first ones may be there.
-    pub fn end(&mut self, chance: &mut Chance) {
+    pub fn end(&mut self, chance: &mut SeededRng) {
         let kept = chance.below(self.waiting.len() + 1);
         self.end_keeping(kept);
     }
--- a/crates/simulation/src/stores/exhaustive/world.rs
+++ b/crates/simulation/src/stores/exhaustive/world.rs
@@ -11,7 +11,7 @@
     places, StoreEvent, Stores, ALL, EARLY, GROUP, ITEMS, JOB, LATE, LOSSES, MOST_PLANS, MOST_ROUNDS, STORES,
     TENANT,
 };
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::Micros;
 use crate::network::Network;
 use crate::stores::core::{give_up_now, seen_as_silent};
@@ -233,7 +233,7 @@
     }
 
     pub fn step(&mut self, place: usize, now: Micros, act: impl FnOnce(&mut SimStore, &mut Step)) {
-        let mut chance = Chance::new(0);
+        let mut chance = SeededRng::new(0);
         let effects = {
             let mut step = Step { now, chance: &mut chance, effects: Vec::new() };
             act(Arc::make_mut(&mut self.stores[place]), &mut step);
--- a/crates/simulation/src/stores/mod.rs
+++ b/crates/simulation/src/stores/mod.rs
@@ -23,7 +23,7 @@
 mod turns;
 mod world;
 
-use crate::shrink::fewest;
+use crate::shrink::minimize_faults;
 pub use costs::Costs;
 pub use day::{StoreDay, StoreFamily, StoreStrike, StoreTrouble};
 pub use exhaustive::{StoreEvent, StoreGrain, StoreSearch};
@@ -39,7 +39,8 @@
 ) -> StoreDay {
     let breaks = |day: &StoreDay| play_stores(day, plant).broken.iter().any(|broken| broken.rule == rule);
     let mut smallest = day.clone();
-    smallest.strikes = fewest(day.strikes.clone(), |strikes| breaks(&StoreDay { strikes, ..day.clone() }));
+    smallest.strikes =
+        minimize_faults(day.strikes.clone(), |strikes| breaks(&StoreDay { strikes, ..day.clone() }));
     let mut without_wipes = smallest.clone();
     without_wipes.closing_wipes = 0;
     match breaks(&without_wipes) {
--- a/crates/simulation/src/stores/placing.rs
+++ b/crates/simulation/src/stores/placing.rs
@@ -26,7 +26,7 @@
         let heard = self.stores[store].heard();
         let of_groups = self.stores[store].of_groups();
         self.told.insert(store, heard.clone());
-        let late = if self.chance.in_thousand(5) { self.chance.between(0, LATE_PRESENCE) } else { 0 };
+        let late = if self.chance.per_mille(5) { self.chance.between(0, LATE_PRESENCE) } else { 0 };
         let at = at + late + self.chance.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
         self.at(at, Event::Hear { heard, of_groups });
     }
--- a/crates/simulation/src/stores/store.rs
+++ b/crates/simulation/src/stores/store.rs
@@ -15,7 +15,7 @@
 use super::plant::StorePlant;
 use super::protocol::{Answer, Ask, Call, Caller};
 use super::task::Task;
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND};
 use crate::network::Network;
 
@@ -71,7 +71,7 @@
 /// The surroundings of one step.
 pub struct Step<'a> {
     pub now: Micros,
-    pub chance: &'a mut Chance,
+    pub chance: &'a mut SeededRng,
     pub effects: Vec<Effect>,
 }
 
@@ -179,7 +179,7 @@
     }
 
     /// The process ends; what was not on the disk may be lost.
-    pub fn end(&mut self, chance: &mut Chance) {
+    pub fn end(&mut self, chance: &mut SeededRng) {
         self.has_ended();
         self.disk.end(chance);
     }
--- a/crates/simulation/src/stores/strikes.rs
+++ b/crates/simulation/src/stores/strikes.rs
@@ -43,7 +43,7 @@
             }
             StoreTrouble::StrikeReader { for_, kill } => self.traps.push(Trap::StrikeReader { for_, kill }),
             StoreTrouble::Cut { inside, for_, one_way } => {
-                self.network.cut(inside, now + for_, one_way);
+                self.network.partition(inside, now + for_, one_way);
                 self.trouble(for_);
             }
             StoreTrouble::CutFromCore { stores, for_ } => {
@@ -51,11 +51,11 @@
                 self.trouble(for_);
             }
             StoreTrouble::Lossy { for_, lost } => {
-                self.network.lose(now + for_, lost, 0);
+                self.network.set_loss(now + for_, lost, 0);
                 self.trouble(for_);
             }
             StoreTrouble::SlowLink { store, for_, delay } => {
-                self.network.slow_down(store, now + for_, delay);
+                self.network.add_delay(store, now + for_, delay);
                 self.trouble(for_ + delay);
             }
             StoreTrouble::SlowDisk { store, for_, times } => {
@@ -241,7 +241,7 @@
         self.trouble(for_);
         if cut_off {
             self.unheard.extend(places.iter().map(|store| (*store, self.now + for_)));
-            self.network.cut(places, self.now + for_, false);
+            self.network.partition(places, self.now + for_, false);
             self.planes[0].stale_until = self.now + for_;
             return;
         }
@@ -331,7 +331,7 @@
             Blow::Kill => self.power_off(struck, for_),
             Blow::Freeze => self.freeze(struck, for_),
             Blow::Cut | Blow::CutOneWay => {
-                self.network.cut(vec![struck], until, blow == Blow::CutOneWay);
+                self.network.partition(vec![struck], until, blow == Blow::CutOneWay);
                 self.trouble(for_);
             }
             Blow::Unheard => {
@@ -339,7 +339,7 @@
                 self.trouble(for_);
             }
             Blow::SlowLink => {
-                self.network.slow_down(struck, until, for_ / 2);
+                self.network.add_delay(struck, until, for_ / 2);
                 self.trouble(2 * for_);
             }
             Blow::LateMessage => {
@@ -421,7 +421,7 @@
     pub(super) fn close(&mut self) {
         self.closed = true;
         self.print(|| "--- the closing".to_owned());
-        self.network.heal();
+        self.network.clear_faults();
         self.unheard.clear();
         self.traps.clear();
         self.aimed.clear();
--- a/crates/simulation/src/stores/turns.rs
+++ b/crates/simulation/src/stores/turns.rs
@@ -72,17 +72,17 @@
                         let unread: Vec<String> =
                             accepted.iter().filter(|job| !self.swept.contains(*job)).cloned().collect();
                         let from = if unread.is_empty() { &accepted } else { &unread };
-                        self.chance.pick(from).cloned()
+                        self.chance.choose(from).cloned()
                     }
                     // The newest are read most.
-                    false if self.chance.in_thousand(700) => {
+                    false if self.chance.per_mille(700) => {
                         let newest = accepted.len().saturating_sub(6);
-                        self.chance.pick(accepted.get(newest..).unwrap_or_default()).cloned()
+                        self.chance.choose(accepted.get(newest..).unwrap_or_default()).cloned()
                     }
-                    false => self.chance.pick(&accepted).cloned(),
+                    false => self.chance.choose(&accepted).cloned(),
                 };
                 let chosen = chosen?;
-                let start = match self.is_sweeping() || self.chance.in_thousand(600) {
+                let start = match self.is_sweeping() || self.chance.per_mille(600) {
                     true => 0,
                     false => self.chance.below(self.day.most_items) as u32,
                 };
@@ -90,7 +90,7 @@
                 let group = group_of(tenant_of(&chosen));
                 let links = view.group(group).map(|held| held.chain.clone()).unwrap_or_default();
                 let link = match self.plant {
-                    Some(StorePlant::AnyLinkAnswers) => self.chance.pick(&links),
+                    Some(StorePlant::AnyLinkAnswers) => self.chance.choose(&links),
                     _ => links.last(),
                 };
                 let to = link.and_then(|link| view.store(*link)).map(|link| link.member.peer);
@@ -117,7 +117,7 @@
                 if let Some(accepted) = job.take() {
                     self.accepted(&accepted.id);
                     // Now and then as if its 202 had been lost.
-                    *job = self.chance.in_thousand(60).then_some(accepted);
+                    *job = self.chance.per_mille(60).then_some(accepted);
                 }
                 pause = self.chance.between(self.day.pause / 2, self.day.pause);
             }
@@ -156,7 +156,7 @@
     fn accepted(&mut self, job: &str) {
         self.acceptances += 1;
         self.judge.record_acceptance(self.now, job);
-        if self.chance.in_thousand(120) && !self.is_sweeping() {
+        if self.chance.per_mille(120) && !self.is_sweeping() {
             self.to_end.push(job.to_owned());
         }
     }
--- a/crates/simulation/src/stores/world.rs
+++ b/crates/simulation/src/stores/world.rs
@@ -14,7 +14,7 @@
 use super::plant::StorePlant;
 use super::protocol::{Answer, Ask, Call, Caller};
 use super::store::{Effect, SimStore, Step};
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Micros, MILLISECOND, SECOND};
 use crate::network::Network;
 
@@ -153,7 +153,7 @@
     pub plant: Option<StorePlant>,
     pub prints: bool,
     pub now: Micros,
-    pub chance: Chance,
+    pub chance: SeededRng,
     queue: BTreeMap<(Micros, u64), Event>,
     queued: u64,
     pub stores: Vec<SimStore>,
@@ -210,7 +210,7 @@
             plant,
             prints,
             now: 0,
-            chance: Chance::new(day.seed),
+            chance: SeededRng::new(day.seed),
             queue: BTreeMap::new(),
             queued: 0,
             stores: Vec::new(),
--- a/crates/simulation/src/stores_command.rs
+++ b/crates/simulation/src/stores_command.rs
@@ -7,8 +7,8 @@
 use anyhow::{bail, Context};
 use fennelgauge_batch_judge::Rule;
 use fennelgauge_simulation::{
-    play_stores, play_stores_and_print, seeds_on_threads, shrunk_stores, StoreDay, StoreFamily, StoreGrain,
-    StorePlant, StoreSearch,
+    play_stores, play_stores_and_print, run_seeds_on_threads, shrunk_stores, StoreDay, StoreFamily,
+    StoreGrain, StorePlant, StoreSearch,
 };
 
 const DAYS: u64 = 1_000;
@@ -93,7 +93,7 @@
 fn play_days(from: u64, count: u64, family: Option<StoreFamily>, threads: u64) -> anyhow::Result<()> {
     let began = Instant::now();
     let sums = Mutex::new(Sums::default());
-    seeds_on_threads(from, count, threads, |seed| {
+    run_seeds_on_threads(from, count, threads, |seed| {
         let day = drawn(seed, family);
         let played = play_stores(&day, None);
         let Ok(mut sums) = sums.lock() else { return false };
@@ -159,7 +159,7 @@
     let mut missed = Vec::new();
     for plant in StorePlant::all().into_iter().filter(|plant| only.is_none_or(|only| only == *plant)) {
         let found: Mutex<Option<(u64, StoreFamily, Rule)>> = Mutex::new(None);
-        seeds_on_threads(1, most, threads, |seed| {
+        run_seeds_on_threads(1, most, threads, |seed| {
             let day = StoreDay::drawn(seed);
             let played = play_stores(&day, Some(plant));
             let shown_dropped = (!played.shown_dropped.is_empty()).then_some(Rule::Lost);
--- a/crates/simulation/src/threads.rs
+++ b/crates/simulation/src/threads.rs
@@ -1,11 +1,12 @@
-//! Many days on several threads.
+//! Runs many seeds in parallel.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::{play, Day, Plant, Played};
+use crate::{play, Day, Played, SimulationBug};
 
-/// Hands so many seeds to `look` on several threads, until it says that it is enough.
-pub fn seeds_on_threads(from: u64, count: u64, threads: u64, look: impl Fn(u64) -> bool + Sync) {
+/// Calls `run` for `count` seeds beginning with `from`, on several threads. Stops early, without starting further seeds, once a
+/// call returns false.
+pub fn run_seeds_on_threads(from: u64, count: u64, threads: u64, run: impl Fn(u64) -> bool + Sync) {
     let next = AtomicU64::new(from);
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
@@ -14,7 +15,7 @@
                 if seed >= from + count {
                     return;
                 }
-                if !look(seed) {
+                if !run(seed) {
                     next.store(from + count, Ordering::Relaxed);
                 }
             });
@@ -22,17 +23,18 @@
     });
 }
 
-/// Plays the days of so many seeds on several threads. `look` is handed each with what came of it, and says whether to go on.
-pub fn on_threads(
+/// Plays the days of `count` seeds beginning with `from`, on several threads. `inspect` receives each day with its result and
+/// returns whether to go on.
+pub fn play_days_on_threads(
     from: u64,
     count: u64,
     threads: u64,
     day: impl Fn(u64) -> Day + Sync,
-    plant: Option<Plant>,
-    look: impl Fn(&Day, Played) -> bool + Sync,
+    bug: Option<SimulationBug>,
+    inspect: impl Fn(&Day, Played) -> bool + Sync,
 ) {
-    seeds_on_threads(from, count, threads, |seed| {
+    run_seeds_on_threads(from, count, threads, |seed| {
         let day = day(seed);
-        look(&day, play(&day, plant))
+        inspect(&day, play(&day, bug))
     });
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! Plays a day: one queue of events in the order of simulated time.
+//! Runs a day: a discrete event simulation with one queue of events in the order of simulated time.
 
 mod strikes;
 
@@ -8,129 +8,142 @@
 
 use fennelgauge_coordination::{Member, Message, ViewRules};
 
-use crate::chance::Chance;
+use crate::chance::SeededRng;
 use crate::day::{Day, Micros, MILLISECOND, SECOND};
-use crate::judge::{Broken, Judge};
-use crate::machine::{Call, Input, Leaving, Machine};
+use crate::judge::{InvariantChecker, Violation};
+use crate::machine::{Call, Input, Machine, Output};
 use crate::network::Network;
-use crate::operator::{Answer, Operator, PATIENCE};
-use crate::plant::Plant;
+use crate::operator::{Answer, Operator, RESPONSE_TIMEOUT};
+use crate::plant::SimulationBug;
 
-const TICK_EVERY: Micros = 50 * MILLISECOND;
-/// Machines start within this time of one another.
-const STARTS_WITHIN: Micros = 300 * MILLISECOND;
-const OPERATORS_BEGIN: Micros = 2 * SECOND;
-/// All machines are back so long after the last trouble.
-const CLOSING_DARK: Micros = 600 * MILLISECOND;
-/// By then the core serves again and all are level.
-const RECOVER: Micros = 12 * SECOND;
-/// To and from an operator.
+/// Time between two ticks of a machine.
+const TICK_INTERVAL: Micros = 50 * MILLISECOND;
+/// The machines start at random times of this interval.
+const START_SPREAD: Micros = 300 * MILLISECOND;
+/// The operators send their first requests within a second after this time.
+const FIRST_REQUEST_AT: Micros = 2 * SECOND;
+/// Maximum time that a machine has no power after the power loss at the end of the day.
+const MAX_CLOSING_OUTAGE: Micros = 600 * MILLISECOND;
+/// Time after the return of all machines within which the core must serve again and its machines must be caught up.
+const RECOVERY_TIMEOUT: Micros = 12 * SECOND;
+/// Minimum and maximum delay between an operator and a machine.
 const CLIENT_DELAY: (Micros, Micros) = (2_500, 3_500);
-const READ_EVERY: Micros = 150 * MILLISECOND;
+/// Time between the reads of the operator that only reads, which varies from half to twice this time.
+const READ_INTERVAL: Micros = 150 * MILLISECOND;
 
-/// What came of a day.
+/// The result of a day.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Played {
-    pub broken: Vec<Broken>,
+    /// Violations of the rules.
+    pub broken: Vec<Violation>,
     pub acknowledgements: u64,
     pub refusals: u64,
     pub reads: u64,
+    /// The highest epoch at the end of the day.
     pub views: u64,
-    /// From the end of the last trouble to the first acknowledgement.
+    /// Time from the return of all machines at the end of the day to the first acknowledgement.
     pub recovered_after: Option<Micros>,
-    /// Mixes all that happened: the same for the same day.
+    /// A hash of the times and numbers of all events, to compare two runs of the same day.
     pub trace: u64,
 }
 
-/// Plays one day.
-pub fn play(day: &Day, plant: Option<Plant>) -> Played {
-    let mut world = World::new(day, plant);
+/// Runs one day.
+pub fn play(day: &Day, bug: Option<SimulationBug>) -> Played {
+    let mut world = World::new(day, bug);
     world.run();
     world.result()
 }
 
-/// Plays one day and prints each message, answer and version as it comes.
-pub fn play_and_print(day: &Day, plant: Option<Plant>) -> Played {
-    let mut world = World::new(day, plant);
+/// Runs one day and prints each message, answer and committed version.
+pub fn play_and_print(day: &Day, bug: Option<SimulationBug>) -> Played {
+    let mut world = World::new(day, bug);
     world.prints = true;
     world.run();
     world.result()
 }
 
+/// A scheduled event. An event of an earlier incarnation of a machine is ignored.
 #[derive(Debug)]
 enum Event {
     Start(usize),
-    Tick { machine: usize, life: u64 },
+    Tick { machine: usize, incarnation: u64 },
     Deliver { to: usize, from: Member, message: Box<Message> },
-    Written { machine: usize, life: u64 },
+    WritesDone { machine: usize, incarnation: u64 },
     Call { machine: usize, call: Call },
     Answer { call: Call, answer: Answer },
     Ask { operator: usize },
-    Silence { operator: usize, attempt: u64 },
+    ResponseTimeout { operator: usize, attempt: u64 },
     Strike(usize),
-    EndPower { machine: usize, life: u64, wipe: bool, for_: Micros },
-    TakeAway(usize),
-    Wiped { machine: usize, dark: Vec<usize>, dark_for: Micros },
+    PowerOff { machine: usize, incarnation: u64, wipe: bool, for_: Micros },
+    Remove(usize),
+    WipeAndPowerOff { machine: usize, dark: Vec<usize>, dark_for: Micros },
     Close,
     Check,
 }
 
+/// The state of the simulation.
 struct World<'a> {
     day: &'a Day,
-    chance: Chance,
+    rng: SeededRng,
     now: Micros,
+    /// Times and numbers of the scheduled events; events of the same time are handled in the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Scheduled events by number; `None` once handled.
     events: Vec<Option<Event>>,
     machines: Vec<Machine>,
     network: Network,
     operators: Vec<Operator>,
-    judge: Judge,
+    checker: InvariantChecker,
     rules: ViewRules,
-    plant: Option<Plant>,
-    answers_lost: (Micros, u64),
-    /// Strikes whoever acknowledges next: whether the disk is lost, for how long it is dark, and how soon.
-    trap: Option<(bool, Micros, Micros)>,
+    bug: Option<SimulationBug>,
+    /// Until when answers to operators are lost, and how many of 1000.
+    answer_loss: (Micros, u64),
+    /// A fault for the next machine that acknowledges an order: whether its disk is lost, for how long it has no power, and how soon.
+    ack_trap: Option<(bool, Micros, Micros)>,
+    /// The addresses that form the first view.
     first_seeds: Vec<SocketAddr>,
-    /// When the troubles that have struck will be over.
+    /// When the faults that were injected so far will be over.
     busy_until: Micros,
-    /// Disks lost that are not made good yet.
+    /// Number of lost disks that the core has not recovered from yet.
     disks_lost: usize,
-    back_at: Micros,
+    /// When all machines are back after the power loss at the end of the day; `Micros::MAX` before that.
+    all_back_at: Micros,
     recovered_after: Option<Micros>,
-    read_since_back: Option<u64>,
+    /// The highest sequence number that was read after all machines were back.
+    max_read_after_recovery: Option<u64>,
     trace: u64,
     done: bool,
     prints: bool,
 }
 
 impl<'a> World<'a> {
-    fn new(day: &'a Day, plant: Option<Plant>) -> Self {
+    fn new(day: &'a Day, bug: Option<SimulationBug>) -> Self {
         let rules = ViewRules::tolerating(day.losses);
         let first_seeds: Vec<SocketAddr> = (0..3).map(Network::address).collect();
         let machines =
-            (0..day.machines).map(|number| Machine::new(number, &first_seeds, true, rules, plant)).collect();
+            (0..day.machines).map(|number| Machine::new(number, &first_seeds, true, rules, bug)).collect();
         let mut operators: Vec<Operator> = (0..day.operators).map(|_| Operator::new(false)).collect();
         operators.push(Operator::new(true));
         Self {
             day,
-            chance: Chance::new(day.seed ^ 0xabcd_ef01),
+            rng: SeededRng::new(day.seed ^ 0xabcd_ef01),
             now: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
             machines,
             network: Network::default(),
             operators,
-            judge: Judge::default(),
+            checker: InvariantChecker::default(),
             rules,
-            plant,
-            answers_lost: (0, 0),
-            trap: None,
+            bug,
+            answer_loss: (0, 0),
+            ack_trap: None,
             first_seeds,
             busy_until: 0,
             disks_lost: 0,
-            back_at: Micros::MAX,
+            all_back_at: Micros::MAX,
             recovered_after: None,
-            read_since_back: None,
+            max_read_after_recovery: None,
             trace: 0,
             done: false,
             prints: false,
@@ -143,7 +156,8 @@
         }
     }
 
-    fn at(&mut self, time: Micros, event: Event) {
+    /// Schedules an event.
+    fn schedule(&mut self, time: Micros, event: Event) {
         let number = self.events.len() as u64;
         self.events.push(Some(event));
         self.queue.push(Reverse((time, number)));
@@ -151,181 +165,185 @@
 
     fn run(&mut self) {
         for machine in 0..self.machines.len() {
-            let time = self.chance.between(0, STARTS_WITHIN);
-            self.at(time, Event::Start(machine));
+            let time = self.rng.between(0, START_SPREAD);
+            self.schedule(time, Event::Start(machine));
         }
         for operator in 0..self.operators.len() {
-            let time = OPERATORS_BEGIN + self.chance.between(0, SECOND);
-            self.at(time, Event::Ask { operator });
+            let time = FIRST_REQUEST_AT + self.rng.between(0, SECOND);
+            self.schedule(time, Event::Ask { operator });
         }
         for (number, strike) in self.day.strikes.iter().enumerate() {
-            self.at(strike.at, Event::Strike(number));
+            self.schedule(strike.at, Event::Strike(number));
         }
-        self.at(self.day.closing, Event::Close);
+        self.schedule(self.day.closing, Event::Close);
         while let Some(Reverse((time, number))) = self.queue.pop() {
             let Some(event) = self.events[number as usize].take() else { continue };
             self.now = time;
             self.trace = (self.trace ^ time ^ number.rotate_left(20)).wrapping_mul(0x0000_0100_0000_01b3);
-            self.happen(event);
+            self.handle_event(event);
             if self.done {
                 return;
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         if let Event::Deliver { to, from, message } = &event {
             self.print(|| format!("{} -> {to}: {message:?}", from.identity.node));
         }
         match event {
             Event::Start(machine) => self.start(machine),
-            Event::Tick { machine, life } => self.tick(machine, life),
-            Event::Deliver { to, from, message } => self.give(to, Input::Message(from, message)),
-            Event::Written { machine, life } => self.written(machine, life),
-            Event::Call { machine, call } => self.give(machine, Input::Call(call)),
-            Event::Answer { call, answer } => self.answered(call, answer),
+            Event::Tick { machine, incarnation } => self.tick(machine, incarnation),
+            Event::Deliver { to, from, message } => self.deliver_input(to, Input::Message(from, message)),
+            Event::WritesDone { machine, incarnation } => self.finish_writes(machine, incarnation),
+            Event::Call { machine, call } => self.deliver_input(machine, Input::Call(call)),
+            Event::Answer { call, answer } => self.handle_answer(call, answer),
             Event::Ask { operator } => self.ask(operator),
-            Event::Silence { operator, attempt } => {
+            Event::ResponseTimeout { operator, attempt } => {
                 if self.operators[operator].attempt == attempt {
                     self.ask(operator);
                 }
             }
             Event::Strike(number) => self.strike(&self.day.strikes[number].trouble),
-            Event::EndPower { machine, life, wipe, for_ } => {
-                if self.machines[machine].life == life {
+            Event::PowerOff { machine, incarnation, wipe, for_ } => {
+                if self.machines[machine].incarnation == incarnation {
                     self.power_off(machine, wipe, for_);
                 }
             }
-            Event::TakeAway(machine) => self.take_away(machine),
-            Event::Wiped { machine, dark, dark_for } => {
+            Event::Remove(machine) => self.remove_machine(machine),
+            Event::WipeAndPowerOff { machine, dark, dark_for } => {
                 self.power_off(machine, true, dark_for);
                 for other in dark {
                     self.power_off(other, false, dark_for);
                 }
             }
             Event::Close => self.close(),
-            Event::Check => self.check(),
+            Event::Check => self.run_final_checks(),
         }
     }
 
     fn start(&mut self, machine: usize) {
         let running: Vec<SocketAddr> = (0..self.machines.len())
-            .filter(|other| !self.machines[*other].gone && *other != machine)
+            .filter(|other| !self.machines[*other].removed && *other != machine)
             .map(Network::address)
             .take(3)
             .collect();
-        let seeds = if self.now <= STARTS_WITHIN { self.first_seeds.clone() } else { running };
+        let seeds = if self.now <= START_SPREAD { self.first_seeds.clone() } else { running };
         let now = self.now;
         let started = &mut self.machines[machine];
-        if started.is_up() || started.gone {
+        if started.is_up() || started.removed {
             return;
         }
         started.start(now, &seeds);
-        let life = started.life;
-        self.at(now + TICK_EVERY, Event::Tick { machine, life });
+        let incarnation = started.incarnation;
+        self.schedule(now + TICK_INTERVAL, Event::Tick { machine, incarnation });
     }
 
-    fn tick(&mut self, machine: usize, life: u64) {
-        if self.machines[machine].life != life || !self.machines[machine].is_up() {
+    fn tick(&mut self, machine: usize, incarnation: u64) {
+        if self.machines[machine].incarnation != incarnation || !self.machines[machine].is_up() {
             return;
         }
         let frozen_until = self.machines[machine].frozen_until;
         if self.now < frozen_until {
-            return self.at(frozen_until, Event::Tick { machine, life });
+            return self.schedule(frozen_until, Event::Tick { machine, incarnation });
         }
-        self.give(machine, Input::Tick);
-        self.at(self.now + TICK_EVERY, Event::Tick { machine, life });
+        self.deliver_input(machine, Input::Tick);
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick { machine, incarnation });
     }
 
-    fn give(&mut self, machine: usize, input: Input) {
-        let Some(taking) = self.machines.get_mut(machine) else { return };
-        if !taking.is_up() {
+    /// Passes an input to a machine; while the machine is frozen, a tick is dropped and other inputs wait.
+    fn deliver_input(&mut self, machine: usize, input: Input) {
+        let Some(receiver) = self.machines.get_mut(machine) else { return };
+        if !receiver.is_up() {
             return;
         }
-        if self.now < taking.frozen_until {
-            let at = taking.frozen_until;
+        if self.now < receiver.frozen_until {
+            let at = receiver.frozen_until;
             return match input {
-                Input::Message(from, message) => self.at(at, Event::Deliver { to: machine, from, message }),
-                Input::Call(call) => self.at(at, Event::Call { machine, call }),
+                Input::Message(from, message) => {
+                    self.schedule(at, Event::Deliver { to: machine, from, message })
+                }
+                Input::Call(call) => self.schedule(at, Event::Call { machine, call }),
                 Input::Tick => {}
             };
         }
-        let mut out = Vec::new();
-        let done = taking.take(self.now, input, &mut self.chance, &mut out);
-        self.after(machine, done, out);
+        let mut outputs = Vec::new();
+        let done = receiver.handle_input(self.now, input, &mut self.rng, &mut outputs);
+        self.process_outputs(machine, done, outputs);
     }
 
-    fn written(&mut self, machine: usize, life: u64) {
+    fn finish_writes(&mut self, machine: usize, incarnation: u64) {
         let writing = &mut self.machines[machine];
-        if writing.life != life {
+        if writing.incarnation != incarnation {
             return;
         }
         if self.now < writing.frozen_until {
             let at = writing.frozen_until;
-            return self.at(at, Event::Written { machine, life });
+            return self.schedule(at, Event::WritesDone { machine, incarnation });
         }
-        let mut out = Vec::new();
-        let done = writing.written(self.now, &mut self.chance, &mut out);
-        self.after(machine, done, out);
+        let mut outputs = Vec::new();
+        let done = writing.finish_writes(self.now, &mut self.rng, &mut outputs);
+        self.process_outputs(machine, done, outputs);
     }
 
-    /// What a machine did: its writes are waited for, messages and answers leave, the judge looks.
-    fn after(&mut self, machine: usize, done: Option<Micros>, out: Vec<Leaving>) {
-        let life = self.machines[machine].life;
+    /// Processes the outputs of a machine: schedules the end of its writes, sends its messages and answers, and passes its committed state
+    /// to the checker.
+    fn process_outputs(&mut self, machine: usize, done: Option<Micros>, outputs: Vec<Output>) {
+        let incarnation = self.machines[machine].incarnation;
         if let Some(done) = done {
-            self.at(done, Event::Written { machine, life });
+            self.schedule(done, Event::WritesDone { machine, incarnation });
         } else if !self.machines[machine].is_writing() {
-            self.show(machine);
+            self.publish(machine);
         }
         let from = self.machines[machine].member();
-        for leaving in out {
-            match leaving {
-                Leaving::Message(to, message) => {
+        for output in outputs {
+            match output {
+                Output::Message(to, message) => {
                     let to = Network::machine(to);
-                    for time in self.network.arrivals(self.now, machine, to, &mut self.chance) {
-                        self.at(
+                    for time in self.network.arrivals(self.now, machine, to, &mut self.rng) {
+                        self.schedule(
                             time,
                             Event::Deliver { to, from: from.clone(), message: Box::new(message.clone()) },
                         );
                     }
                 }
-                Leaving::Forward(to, call) => {
+                Output::Forward(to, call) => {
                     let to = Network::machine(to);
-                    let arrivals = self.network.arrivals(self.now, machine, to, &mut self.chance);
+                    let arrivals = self.network.arrivals(self.now, machine, to, &mut self.rng);
                     if let Some(time) = arrivals.first().filter(|_| call.origin == machine) {
-                        self.at(*time, Event::Call { machine: to, call });
+                        self.schedule(*time, Event::Call { machine: to, call });
                     }
                 }
-                Leaving::Answer(call, answer) => self.answer(machine, call, answer),
+                Output::Answer(call, answer) => self.send_answer(machine, call, answer),
             }
         }
     }
 
-    fn answer(&mut self, machine: usize, call: Call, answer: Answer) {
+    fn send_answer(&mut self, machine: usize, call: Call, answer: Answer) {
         self.print(|| format!("{machine} answers {:?} with {answer:?}", call.ask));
-        // What was clearly said counts from the moment it was said, even where the words are lost.
+        // A definite answer counts from the moment it is sent, even if it is lost on its way.
         if let (Answer::Acknowledged { place }, Some(order)) = (answer, self.order_of(&call)) {
-            self.judge.saw_acknowledgement(order, place);
-            if self.now >= self.back_at && self.recovered_after.is_none() {
-                self.recovered_after = Some(self.now - self.back_at);
+            self.checker.record_acknowledgement(order, place);
+            if self.now >= self.all_back_at && self.recovered_after.is_none() {
+                self.recovered_after = Some(self.now - self.all_back_at);
             }
             self.spring_trap(machine);
         }
         if let (Answer::Conflict, Some(order)) = (answer, self.order_of(&call)) {
-            self.judge.saw_refusal(self.now, order);
+            self.checker.record_refusal(self.now, order);
         }
         let mut time = self.now;
         if call.origin != machine {
-            let arrivals = self.network.arrivals(self.now, machine, call.origin, &mut self.chance);
+            let arrivals = self.network.arrivals(self.now, machine, call.origin, &mut self.rng);
             let Some(arrival) = arrivals.first() else { return };
             time = *arrival;
         }
-        let (until, lost) = self.answers_lost;
-        if self.now < until && self.chance.in_thousand(lost) {
+        let (until, lost) = self.answer_loss;
+        if self.now < until && self.rng.per_mille(lost) {
             return;
         }
-        time += self.chance.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
-        self.at(time, Event::Answer { call, answer });
+        time += self.rng.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
+        self.schedule(time, Event::Answer { call, answer });
     }
 
     fn order_of(&self, call: &Call) -> Option<crate::ledger::Order> {
@@ -336,25 +354,25 @@
     }
 
     fn spring_trap(&mut self, machine: usize) {
-        let Some((wipe, for_, within)) = self.trap.take() else { return };
-        let life = self.machines[machine].life;
-        self.at(self.now + within, Event::EndPower { machine, life, wipe, for_ });
+        let Some((wipe, for_, within)) = self.ack_trap.take() else { return };
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule(self.now + within, Event::PowerOff { machine, incarnation, wipe, for_ });
     }
 
     fn ask(&mut self, operator: usize) {
-        let floor = self.judge.floor_for_reads();
+        let min_read_position = self.checker.min_read_position();
         let asking = &mut self.operators[operator];
-        let ask = asking.ask(&mut self.chance);
-        asking.floor = floor;
+        let ask = asking.ask(&mut self.rng);
+        asking.min_read_position = min_read_position;
         let attempt = asking.attempt;
-        let machine = self.chance.below(self.machines.len());
+        let machine = self.rng.below(self.machines.len());
         let call = Call { operator, attempt, ask, origin: machine };
-        let time = self.now + self.chance.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
-        self.at(time, Event::Call { machine, call });
-        self.at(self.now + PATIENCE, Event::Silence { operator, attempt });
+        let time = self.now + self.rng.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
+        self.schedule(time, Event::Call { machine, call });
+        self.schedule(self.now + RESPONSE_TIMEOUT, Event::ResponseTimeout { operator, attempt });
     }
 
-    fn answered(&mut self, call: Call, answer: Answer) {
+    fn handle_answer(&mut self, call: Call, answer: Answer) {
         let operator = call.operator;
         if self.operators[operator].attempt != call.attempt {
             return;
@@ -362,61 +380,65 @@
         let only_reads = self.operators[operator].only_reads;
         let pause = match answer {
             Answer::Acknowledged { .. } => {
-                let taken = self.operators[operator].current_order().map(|order| order.generation);
+                let taken = self.operators[operator].pending_order().map(|order| order.generation);
                 self.operators[operator].finish(taken);
-                self.chance.between(self.day.pause / 2, self.day.pause * 3 / 2)
+                self.rng.between(self.day.pause / 2, self.day.pause * 3 / 2)
             }
             Answer::Conflict => {
                 self.operators[operator].finish(None);
                 0
             }
             Answer::Value { generation, place } => {
-                let floor = self.operators[operator].floor;
-                self.judge.saw_read(self.now, floor, place);
-                if self.now >= self.back_at {
-                    self.read_since_back = self.read_since_back.max(Some(place));
+                let min_read_position = self.operators[operator].min_read_position;
+                self.checker.record_read(self.now, min_read_position, place);
+                if self.now >= self.all_back_at {
+                    self.max_read_after_recovery = self.max_read_after_recovery.max(Some(place));
                 }
                 self.operators[operator].finish(Some(generation));
                 if only_reads {
-                    self.chance.between(READ_EVERY / 2, READ_EVERY * 2)
+                    self.rng.between(READ_INTERVAL / 2, READ_INTERVAL * 2)
                 } else {
                     0
                 }
             }
-            Answer::Unsure => self.operators[operator].pause(&mut self.chance),
+            Answer::Unsure => self.operators[operator].retry_delay(&mut self.rng),
         };
         self.operators[operator].attempt += 1;
-        self.at(self.now + pause, Event::Ask { operator });
+        self.schedule(self.now + pause, Event::Ask { operator });
     }
 
-    fn show(&mut self, machine: usize) {
+    /// Passes the view and the committed version of a machine to the checker if they have changed.
+    fn publish(&mut self, machine: usize) {
         let identity = self.machines[machine].identity.clone();
         let Some(process) = &mut self.machines[machine].process else { return };
         let replica = process.coordinator.replica();
         let view = replica.view();
-        if process.shown_epoch != view.epoch {
-            process.shown_epoch = view.epoch;
-            self.judge.saw_view(self.now, view);
+        if process.published_epoch != view.epoch {
+            process.published_epoch = view.epoch;
+            self.checker.record_view(self.now, view);
         }
         let Some(value) = replica.committed_value() else { return };
         let version = replica.version();
-        if process.shown != Some(version) {
-            process.shown = Some(version);
+        if process.published != Some(version) {
+            process.published = Some(version);
             if self.prints {
                 println!("{:>10.3} ms  {machine} has committed {version:?}", self.now as f64 / 1_000.0);
             }
-            self.judge.saw_committed(self.now, &identity, version, value.orders());
+            self.checker.record_committed(self.now, &identity, version, value.orders());
         }
     }
 
-    fn check(&mut self) {
+    /// Ends the simulation and checks that the core has recovered and has kept all acknowledged orders.
+    fn run_final_checks(&mut self) {
         self.done = true;
         let now = self.now;
         if self.recovered_after.is_none() {
-            self.judge.saw_no_recovery(now, "no order was acknowledged after all were back".to_owned());
+            self.checker
+                .record_no_recovery(now, "no order was acknowledged after all machines were back".to_owned());
         }
-        if self.read_since_back.is_none() {
-            self.judge.saw_no_recovery(now, "nothing was read after all were back".to_owned());
+        if self.max_read_after_recovery.is_none() {
+            self.checker
+                .record_no_recovery(now, "no read was answered after all machines were back".to_owned());
         }
         let running = self.machines.iter().filter_map(|machine| machine.process.as_ref());
         let newest = running.map(|process| process.coordinator.replica()).max_by_key(|one| one.view().epoch);
@@ -424,31 +446,34 @@
         let view = newest.view().clone();
         let up = self.machines.iter().filter(|machine| machine.is_up()).count();
         let wanted = self.rules.voter_count().min(up);
-        let level = self.machines.iter().filter(|machine| {
+        let caught_up = self.machines.iter().filter(|machine| {
             let in_chain = view.chain_index(&machine.identity).is_some();
             in_chain && machine.process.as_ref().is_some_and(|it| it.coordinator.replica().is_caught_up())
         });
-        let level = level.count();
-        if level < wanted || view.voters.len() < wanted {
-            let what = format!("{level} of {wanted} voters are level links of view {}", view.epoch);
-            self.judge.saw_no_recovery(now, what);
+        let caught_up = caught_up.count();
+        if caught_up < wanted || view.voters.len() < wanted {
+            let description = format!(
+                "{caught_up} of {wanted} machines are caught-up links of the chain of view {}",
+                view.epoch
+            );
+            self.checker.record_no_recovery(now, description);
         }
         let committed = self.machines.iter().filter_map(|machine| {
             let replica = machine.process.as_ref()?.coordinator.replica();
             replica.committed_version().map(|committed| committed.sequence)
         });
         let last = committed.max();
-        self.judge.close(now, last);
+        self.checker.check_durability(now, last);
     }
 
     fn result(self) -> Played {
         let replicas = self.machines.iter().filter_map(|machine| machine.process.as_ref());
         let views = replicas.map(|process| process.coordinator.replica().view().epoch).max();
         Played {
-            acknowledgements: self.judge.acknowledgements,
-            refusals: self.judge.refusals,
-            reads: self.judge.reads,
-            broken: self.judge.broken,
+            acknowledgements: self.checker.acknowledgements,
+            refusals: self.checker.refusals,
+            reads: self.checker.reads,
+            broken: self.checker.violations,
             views: views.unwrap_or(0),
             recovered_after: self.recovered_after,
             trace: self.trace,
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -4,7 +4,8 @@
 use std::sync::Mutex;
 
 use fennelgauge_simulation::{
-    on_threads, play, shrunk, Day, Family, Plant, Rule, Strike, Trouble, MILLISECOND, SECOND,
+    play, play_days_on_threads, shrink_day, Day, Family, Rule, SimulationBug, Strike, Trouble, MILLISECOND,
+    SECOND,
 };
 
 const DAYS: u64 = 2_000;
@@ -17,7 +18,7 @@
 #[test]
 fn no_rule_is_broken_on_drawn_days() {
     let broken = Mutex::new(Vec::new());
-    on_threads(1, DAYS, THREADS, Day::drawn, None, |day, played| {
+    play_days_on_threads(1, DAYS, THREADS, Day::drawn, None, |day, played| {
         if !played.broken.is_empty() {
             broken.lock().expect("a lock").push((day.seed, played.broken));
         }
@@ -38,9 +39,9 @@
 #[test]
 fn planted_mistakes_are_found() {
     let mut missed = Vec::new();
-    for plant in Plant::all() {
+    for plant in SimulationBug::all() {
         let found = AtomicU64::new(0);
-        on_threads(1, DAYS_A_PLANT, THREADS, Day::drawn, Some(plant), |_, played| {
+        play_days_on_threads(1, DAYS_A_PLANT, THREADS, Day::drawn, Some(plant), |_, played| {
             found.fetch_add(u64::from(!played.broken.is_empty()), Ordering::Relaxed);
             played.broken.is_empty()
         });
@@ -54,13 +55,13 @@
 
 #[test]
 fn a_broken_day_is_made_smaller() {
-    let plant = Some(Plant::AnyLinkAnswersReads);
+    let plant = Some(SimulationBug::AnyLinkAnswersReads);
     let day = (1..200).map(Day::drawn).find(|day| {
         let broken = play(day, plant).broken;
         day.strikes.len() > 3 && broken.iter().any(|broken| broken.rule == Rule::OldRead)
     });
     let day = day.expect("a broken day");
-    let small = shrunk(&day, Rule::OldRead, plant);
+    let small = shrink_day(&day, Rule::OldRead, plant);
     assert!(small.strikes.len() < day.strikes.len());
     assert!(play(&small, plant).broken.iter().any(|broken| broken.rule == Rule::OldRead));
 }
--- a/crates/simulation/tests/stores.rs
+++ b/crates/simulation/tests/stores.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 
 use fennelgauge_simulation::{
-    play_stores, seeds_on_threads, shrunk_stores, StoreDay, StoreFamily, StorePlant, StoreStrike,
+    play_stores, run_seeds_on_threads, shrunk_stores, StoreDay, StoreFamily, StorePlant, StoreStrike,
     StoreTrouble,
 };
 
@@ -44,7 +44,7 @@
 #[test]
 fn no_rule_is_broken_on_drawn_days_of_the_stores() {
     let broken = Mutex::new(Vec::new());
-    seeds_on_threads(1, DAYS, THREADS, |seed| {
+    run_seeds_on_threads(1, DAYS, THREADS, |seed| {
         let played = play_stores(&StoreDay::drawn(seed), None);
         if !played.broken.is_empty() || !played.shown_dropped.is_empty() {
             broken.lock().expect("a lock").push((seed, played.broken, played.shown_dropped));
