--- a/crates/simulation/src/stores/placing.rs
+++ b/crates/simulation/src/stores/placing.rs
@@ -26,7 +26,7 @@
         let heard = self.stores[store].heard();
         let of_groups = self.stores[store].of_groups();
         self.told.insert(store, heard.clone());
-        let late = if self.chance.in_thousand(5) { self.chance.between(0, LATE_PRESENCE) } else { 0 };
+        let late = if self.chance.per_mille(5) { self.chance.between(0, LATE_PRESENCE) } else { 0 };
         let at = at + late + self.chance.between(CLIENT_DELAY.0, CLIENT_DELAY.1);
         self.at(at, Event::Hear { heard, of_groups });
     }
@@ -77,8 +77,8 @@
     /// A quota changes: data planes know it sooner or later, within the time in which a configuration is everywhere.
     pub fn change_quota(&mut self, most: u64) {
         // Any quota that may still be in force somewhere counts.
-        let before = self.judge.most_queued();
-        self.judge.set_most_queued(with_overage(most).max(before));
+        let before = self.judge.max_queued_tokens();
+        self.judge.set_max_queued_tokens(with_overage(most).max(before));
         self.quota = most;
         for plane in 0..self.planes.len() {
             let at = self.now + self.chance.between(0, CONVERGE);
