--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -106,8 +106,8 @@
         f32::from_le_bytes(self.fixed(offset))
     }
 
-    /// Returns the list that the field at `offset` points to (start in the tail, number of items), as records of `size`
-    /// bytes; `None` if it is out of bounds.
+    /// Returns the list that the field at `offset` points to (start in the tail, number of items), as records of
+    /// `size` bytes; `None` if it is out of bounds.
     pub fn items(&self, offset: usize, size: usize) -> Option<impl Iterator<Item = Record<'a>>> {
         let (start, count) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         let end = count.checked_mul(size)?.checked_add(start)?;
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,6 +1,6 @@
 //! Assigns each of many gateways a subset of the servers, so that together they load every server in proportion to
-//! its rating, although no gateway sees another's jobs. Pure functions without I/O, clock or random numbers: the same
-//! roster and positions give the same subsets at every gateway. `docs/spread.md` compares the alternatives.
+//! its rating, although no gateway sees another's jobs. Pure functions without I/O, clock or random numbers: the
+//! same roster and positions give the same subsets at every gateway. `docs/spread.md` compares the alternatives.
 
 mod ring;
 mod subset;
@@ -12,12 +12,12 @@
 /// sends and its `current` size (0 if it has none yet).
 ///
 /// At low rates, jobs spread unevenly by chance, the less so the more gateways share each server: at one relay per
-/// second, six servers spread best. High rates spread evenly anyway, and a large subset only costs: each server needs
-/// a connection, is measured less often, and is found to be bad only by losing one of this gateway's own jobs.
-/// Measurements of both effects are in `docs/spread.md`.
+/// second, six servers spread best. High rates spread evenly anyway, and a large subset only costs: each server
+/// needs a connection, is measured less often, and is found to be bad only by losing one of this gateway's own
+/// jobs. Measurements of both effects are in `docs/spread.md`.
 ///
-/// There are only three sizes, so that gateways with similar rates cover the ring in whole layers. A size is kept until
-/// the rate calls for a clearly different one, as every change opens connections.
+/// There are only three sizes, so that gateways with similar rates cover the ring in whole layers. A size is kept
+/// until the rate calls for a clearly different one, as every change opens connections.
 pub fn subset_size(relays_per_s: f64, current: f64) -> f64 {
     const SIZE_AT_ONE_PER_S: f64 = 6.0;
     let wanted = if relays_per_s > 0.0 { (SIZE_AT_ONE_PER_S / relays_per_s).clamp(2.0, 6.0) } else { 6.0 };
--- a/crates/spread/src/ring.rs
+++ b/crates/spread/src/ring.rs
@@ -1,6 +1,6 @@
 //! Places servers on a ring, each with an arc as long as its rating, and cuts one arc out of it per gateway. The
-//! gateways' arcs have the same length, start at equal distances and overlap, so that every point of the ring is in the
-//! same number of arcs. Servers at the ends of an arc are used in part.
+//! gateways' arcs have the same length, start at equal distances and overlap, so that every point of the ring is in
+//! the same number of arcs. Servers at the ends of an arc are used in part.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -34,10 +34,10 @@
 
     /// Returns the position of gateway `own` among the gateways in `present`, which need not contain it.
     ///
-    /// Each gateway has a fixed key, and positions follow the order of the keys: when one gateway leaves, the others move
-    /// by less than one position. Keys of consecutive numbers are far apart (by the golden ratio): gateways of one zone, or
-    /// of one customer's set, mostly have consecutive numbers, and a failure of all of them must not leave a stretch of the
-    /// ring uncovered.
+    /// Each gateway has a fixed key, and positions follow the order of the keys: when one gateway leaves, the
+    /// others move by less than one position. Keys of consecutive numbers are far apart (by the golden ratio):
+    /// gateways of one zone, or of one customer's set, mostly have consecutive numbers, and a failure of all of
+    /// them must not leave a stretch of the ring uncovered.
     pub fn among(own: u32, present: impl Iterator<Item = u32>) -> Self {
         const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
         let key = |number: u32| u64::from(number).wrapping_mul(GOLDEN_RATIO);
@@ -85,8 +85,8 @@
     }
 }
 
-/// Returns the servers in ring order: by hash within a zone, with the zones interleaved, so that every arc contains its
-/// part of every zone and the loss of a zone empties no arc.
+/// Returns the servers in ring order: by hash within a zone, with the zones interleaved, so that every arc contains
+/// its part of every zone and the loss of a zone empties no arc.
 fn ring_order(servers: &[Candidate]) -> Vec<Candidate> {
     let mut zones: BTreeMap<u16, Vec<Candidate>> = BTreeMap::new();
     for server in servers {
@@ -118,8 +118,8 @@
     }
     let ring_length: f64 = ring.iter().map(effective_rating).sum();
     let (server_count, gateways) = (ring.len() as f64, f64::from(position.count.max(1)));
-    // Every point must be in the same whole number of arcs, or some would get more jobs than others. `max` turns NaN
-    // into 1.
+    // Every point must be in the same whole number of arcs, or some would get more jobs than others. `max` turns
+    // NaN into 1.
     let layers = (min_servers / server_count * gateways).ceil().max(1.0).min(gateways);
     let (arc_start, arc_length) = (position.arc_start() * ring_length, layers / gateways * ring_length);
     let (mut shares, mut fallback) = (Vec::new(), Vec::new());
--- a/crates/spread/src/subset.rs
+++ b/crates/spread/src/subset.rs
@@ -1,5 +1,5 @@
-//! A gateway's subset in use: whose turn it is among its servers. Each server's turn comes as often as its share says, so
-//! that the few jobs of one gateway, and with them those of the whole fleet, are spread evenly.
+//! A gateway's subset in use: whose turn it is among its servers. Each server's turn comes as often as its share
+//! says, so that the few jobs of one gateway, and with them those of the whole fleet, are spread evenly.
 
 use crate::ring::{assign_subset, hash_of, unit_fraction, Candidate, RingPosition};
 
@@ -21,8 +21,9 @@
 }
 
 impl Subset {
-    /// Assigns the subset anew from a roster. Servers that stay keep their turns. The first turn of a new server is at a
-    /// point of its interval given by a hash: otherwise all gateways that share it would send it their next job at once.
+    /// Assigns the subset anew from a roster. Servers that stay keep their turns. The first turn of a new server is
+    /// at a point of its interval given by a hash: otherwise all gateways that share it would send it their next
+    /// job at once.
     pub fn update(&mut self, servers: &[Candidate], position: RingPosition, min_servers: f64) {
         let assigned = assign_subset(servers, position, min_servers);
         let now = self.turns.first().map_or(0.0, |turn| turn.next);
@@ -53,8 +54,8 @@
         self.fallback.iter().copied()
     }
 
-    /// Records that a job was sent to a server. Servers that were skipped keep their turns but catch up by one at most:
-    /// one that had no capacity for long would otherwise get all the jobs that it missed.
+    /// Records that a job was sent to a server. Servers that were skipped keep their turns but catch up by one at
+    /// most: one that had no capacity for long would otherwise get all the jobs that it missed.
     pub fn record_relay(&mut self, server: u32) {
         let Some(index) = self.turns.iter().position(|turn| turn.server == server) else { return };
         let now = self.turns[index].next;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,7 +1,7 @@
 //! The decisions of a gateway: create one with [`Gateway::start`] and report each event to it with the current time;
 //! it acts through its [`Host`]. Rules named below: (1) each job gets one final answer before its client gives up,
-//! (2) no job runs again against its repeat policy, (3) only ready servers get jobs, (4) no cold server is overloaded,
-//! (5) no customer exceeds its ceiling. The interface is in `host.rs`, the state in `state.rs`.
+//! (2) no job runs again against its repeat policy, (3) only ready servers get jobs, (4) no cold server is
+//! overloaded, (5) no customer exceeds its ceiling. The interface is in `host.rs`, the state in `state.rs`.
 
 use crate::host::{Arrival, CounterKey, CustomerId, Deployment, Host, JobId, Outcome, RosterEntry};
 use crate::host::{ConditionalAdd, Health, Plan, RelayEnd, ServerId, JOB_ID_LIMIT};
@@ -222,8 +222,8 @@
         self.jobs.get(&id).filter(|job| job.stage == Stage::Held)
     }
 
-    /// Returns when the customer's quota covers a total. Units accrue evenly over the window, as earlier use is beyond
-    /// the quota; half of the burst is available at its start, or what a total with the marker says is left.
+    /// Returns when the customer's quota covers a total. Units accrue evenly over the window, as earlier use is
+    /// beyond the quota; half of the burst is available at its start, or what a total with the marker says is left.
     fn grant_time(&self, customer: &Customer, total: f64) -> Moment {
         let plan = &self.deployment.plans[customer.plan];
         let (rate, burst) = plan.rate_and_burst(self.fleet.answer_s);
@@ -343,8 +343,8 @@
             return self.pool_draw_replied(total);
         }
         let Some(id) = self.pending_calls.remove(&key) else { return };
-        // With these steps 1 call in 20 fails while the counter is the bottleneck. They are large up to the limit before
-        // a run of failures; otherwise calls would stay rare for minutes after an outage.
+        // With these steps 1 call in 20 fails while the counter is the bottleneck; they are large up to the limit
+        // before a run of failures; otherwise calls would stay rare for minutes after an outage.
         let (limit, counter) = (self.counter.limit, &mut self.counter);
         counter.active -= 1.0;
         counter.limit = match total {
@@ -359,7 +359,7 @@
         self.serve_call_queue();
     }
 
-    /// Returns the part of an add that must fit what has accrued. The one add that crosses half the burst always fits.
+    /// Returns the part of an add that must fit what has accrued. The add that crosses half the burst always fits.
     fn conditional_add(&self, id: CustomerId, amount: f64) -> Option<ConditionalAdd> {
         let customer = self.customers.get(&id).filter(|_| amount > 0.0)?;
         let plan = &self.deployment.plans[customer.plan];
@@ -406,7 +406,7 @@
         let (marker, half, window, to_peers) = (plan.marker(), plan.burst / 2.0, call.window, call.to_peers);
         match (call.step, total) {
             (Step::Add, None) => {
-                // A timed-out add may have been applied and counts as reported: totals may be too low, never too high.
+                // A timed-out add may have been applied and counts as reported: a total may be low, never high.
                 *customer.reported(to_peers) += if outcome == Outcome::TimedOut { call.amount } else { 0.0 };
                 // Jobs that ask again at once would wait for one time-out after another and crowd a slow counter.
                 self.grant_locally(id, false);
@@ -420,8 +420,8 @@
                 self.counter.call_s += if to_peers { 0.0 } else { 0.05 * (took - self.counter.call_s) };
                 // The first gateway to call in a window lends what the last window left unused.
                 let unused = if by_rate && before <= EPSILON { customer.last_unused } else { 0.0 };
-                // Exactly one call crosses half the burst, which is granted without looking back: it reads the last window
-                // and adds the burst deficit at the start of this window for all gateways.
+                // Exactly one call crosses half the burst, which is granted without looking back: it reads the last
+                // window's total and adds the burst deficit at the start of this window for all gateways.
                 if by_rate && total < marker && total > half && before <= half {
                     call.step = Step::ReadLastWindow(total);
                     customer.call = Some(call);
@@ -519,7 +519,7 @@
         }
     }
 
-    /// Lends half the last window's unused units to the next pool; 16 gateways lend per pool window, to spare the counter.
+    /// Lends half the units unused in the last window to the next pool; 16 gateways do per window, to spare the counter.
     fn lend(&mut self, unused: f64) {
         // Lent units must not add load while servers are saturated.
         if self.now < self.fleet.saturated_until || !self.deployment.plans.iter().any(Plan::free_overage) {
@@ -533,11 +533,11 @@
         }
     }
 
-    /// Grants held jobs without a total, within this gateway's share of the quota. Where that is far below a job, one is
-    /// granted once the excess of earlier ones is refilled, unless servers are saturated. With a counter, which is told
-    /// later, all jobs with free overage go: they cost nothing, and the ceiling's share bounds them. While the call is
-    /// queued (`rationed`), a job above the share must cost less as overage than it earns: its odds of being within the
-    /// quota are even at best, and most jobs that wait are of customers over their quota.
+    /// Grants held jobs without a total, within this gateway's share of the quota. Where that is far below a job, one
+    /// is granted once the excess of earlier ones is refilled, unless servers are saturated. With a counter, which is
+    /// told later, all jobs with free overage go: they cost nothing, and the ceiling's share bounds them. While the
+    /// call is queued (`rationed`), a job above the share must cost less as overage than it earns: its odds of being
+    /// within the quota are even at best, and most jobs that wait are of customers over their quota.
     fn grant_locally(&mut self, id: CustomerId, rationed: bool) {
         let sharers = self.sharers(id);
         let Some(customer) = self.customers.get(&id) else { return };
@@ -627,8 +627,8 @@
         }
     }
 
-    /// Chooses the first server with capacity in a ranking that differs by customer and gateway: with one ranking, a heavy
-    /// customer would lead all gateways to the same server, and none of them would notice.
+    /// Chooses the first server with capacity in a ranking that differs by customer and gateway: with one ranking, a
+    /// heavy customer would lead all gateways to the same server, and none of them would notice.
     fn choose_server(&mut self, id: JobId) -> Option<ServerId> {
         if f64::from(self.deployment.gateway_count) > START_LIMIT {
             return self.choose_from_subset(id);
@@ -643,9 +643,9 @@
         ranking.order.iter().copied().find(|server| self.has_capacity(*server, job))
     }
 
-    /// Chooses from this gateway's subset in turn, so that the fleet loads servers alike; the less loaded of the next two,
-    /// to avoid slow ones; or a fallback server while the subset has no usable one. Many gateways see few answers of each
-    /// server and could all send to it at once, so the sum of their relays is limited as well.
+    /// Chooses from this gateway's subset in turn, so that the fleet loads servers alike; the less loaded of the next
+    /// two, to avoid slow ones; or a fallback server while the subset has no usable one. Many gateways see few
+    /// answers of each server and could all send to it at once, so the sum of their relays is limited as well.
     fn choose_from_subset(&mut self, id: JobId) -> Option<ServerId> {
         let full = self.fleet.active >= (self.fleet.limit * self.fleet.ready).max(1.0);
         if full || (self.now < self.fleet.pause_until && self.fleet.slowness > 1.25 * self.fleet.baseline) {
@@ -715,8 +715,8 @@
             })
     }
 
-    /// Rule 4: returns the units per second that are safe for a cold server, from the throughput of warm ones, and the
-    /// load it still has to work off; `None` if warm. Half is held back for slower machines and uneven work.
+    /// Rule 4: returns the units per second that are safe for a cold server, from the throughput of warm ones, and
+    /// the load it still has to work off; `None` if warm. Half is held back for slower machines and uneven work.
     fn cold_limit(&self, server: &Server) -> Option<(f64, f64)> {
         const SAFETY: f64 = 0.5;
         let (cold, start) = (self.deployment.cold_start, self.deployment.cold_start.initial_share);
--- a/src/host.rs
+++ b/src/host.rs
@@ -24,20 +24,22 @@
     fn reject(&mut self, job: JobId, retry_after: Option<Span>);
     /// Gives the final answer that a job failed and may or may not have taken effect.
     fn fail(&mut self, job: JobId);
-    /// Requests a call of `Gateway::timer_fired` with `timer_id`; may be skipped if the id is that of a finished job.
+    /// Requests a call of `Gateway::timer_fired` with `timer_id`; may be skipped if the id is that of a finished
+    /// job.
     fn set_timer(&mut self, after: Span, timer_id: u64);
     /// Adds to a total of the counter service. A new key starts at 0 and is kept for `retention`. The reply comes
     /// through `Gateway::counter_replied`.
     fn add_to_counter(&mut self, key: CounterKey, amount: f64, retention: Span);
-    /// Returns whether the gateways can currently keep totals themselves, for when the counter service cannot serve.
+    /// Returns whether the gateways can currently keep totals themselves, for when the counter service cannot
+    /// serve.
     fn peers_can_count(&mut self) -> bool {
         false
     }
-    /// Adds `amount` to a total that the gateways keep, plus the conditional amount if the total permits it. The reply
-    /// comes through `Gateway::peer_count_replied`.
+    /// Adds `amount` to a total that the gateways keep, plus the conditional amount if the total permits it. The
+    /// reply comes through `Gateway::peer_count_replied`.
     fn add_to_peer_count(&mut self, _key: CounterKey, _amount: f64, _conditional: ConditionalAdd) {}
-    /// Returns how many gateways share a customer's quota when no total is available: the gateways of its set, which
-    /// starts at `first_gateway`, minus some of those considered failed.
+    /// Returns how many gateways share a customer's quota when no total is available: the gateways of its set,
+    /// which starts at `first_gateway`, minus some of those considered failed.
     fn quota_sharers(&mut self, _first_gateway: u32, set_size: f64) -> f64 {
         set_size
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -165,8 +165,9 @@
     pub(crate) spent: Bucket,
 }
 
-/// Drops customers without a job for `kept`, unless their share of a ceiling is still partly spent. Runs only before a
-/// new customer is added and when the number of customers is a power of two, so its cost per customer is constant.
+/// Drops customers without a job for `kept`, unless their share of a ceiling is still partly spent. Runs only
+/// before a new customer is added and when the number of customers is a power of two, so its cost per customer is
+/// constant.
 pub(crate) fn drop_idle_customers(
     customers: &mut BTreeMap<CustomerId, Customer>,
     new: CustomerId,
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -37,9 +37,9 @@
     deployment
 }
 
-/// With 300 gateways, counter calls are rare, and jobs with free overage waited for one that came too late: 30,000 of
-/// 55,000 of them were rejected in the scenario calm+mass, although their overage was free. They must be granted within
-/// this gateway's share of the ceiling; jobs of other plans are limited to its share of the quota.
+/// With 300 gateways, counter calls are rare, and jobs with free overage waited for one that came too late: 30,000
+/// of 55,000 of them were rejected in the scenario calm+mass, although their overage was free. They must be granted
+/// within this gateway's share of the ceiling; jobs of other plans are limited to its share of the quota.
 #[test]
 fn jobs_with_free_overage_do_not_wait_for_queued_calls() {
     let (mut gateway, host) = gateway(deployment_of_300(), 400);
@@ -60,7 +60,8 @@
         gateway.job_arrived(at(2_012), job(id, 3, 0));
     }
     let limited = relays(&host.take());
-    // The share of the ceiling is 5 units per second and 5.5 at once; that of the other plan's quota is 1.25 at once.
+    // The share of the ceiling is 5 units per second and 5.5 at once; that of the other plan's quota is 1.25 at
+    // once.
     assert_eq!(free_overage.len(), 5, "{free_overage:?}");
     assert_eq!(limited.len(), 1, "{limited:?}");
 }
@@ -114,9 +115,9 @@
     deployment
 }
 
-/// Each of 300 gateways ranked all servers for every customer, so that its relays went to the whole fleet and most of
-/// them opened a connection: 36,874 connections for about 57,000 relays in the scenario calm+mass. One subset for all
-/// customers limits a gateway to few servers, and all subsets together load every server alike.
+/// Each of 300 gateways ranked all servers for every customer, so that its relays went to the whole fleet and most
+/// of them opened a connection: 36,874 connections for about 57,000 relays in the scenario calm+mass. One subset
+/// for all customers limits a gateway to few servers, and all subsets together load every server alike.
 #[test]
 fn many_gateways_keep_to_few_servers_and_all_load_them_alike() {
     let mut loads = [0; 60];
@@ -131,9 +132,9 @@
     assert!(loads.iter().all(|loads| (240..=360).contains(loads)), "{loads:?}");
 }
 
-/// When a third of the servers stopped answering, gateways with subsets of six servers detected each one by losing own
-/// jobs (score 0.16 in the scenario zone+vast; 0.25 with subsets of two). A subset without a usable server must use its
-/// fallback at once, and return to its own servers when they recover.
+/// When a third of the servers stopped answering, gateways with subsets of six servers detected each one by losing
+/// own jobs (score 0.16 in the scenario zone+vast; 0.25 with subsets of two). A subset without a usable server must
+/// use its fallback at once, and return to its own servers when they recover.
 #[test]
 fn a_subset_without_usable_servers_uses_its_fallback_and_returns() {
     let mut simulated = gateway(unlimited(), 60);
@@ -159,9 +160,10 @@
     assert!(after_recovery.iter().all(|server| subset.contains(server)), "{after_recovery:?} {subset:?}");
 }
 
-/// With 300 gateways, each one paused its use of a server, and all its relays, for the time of 24 answers after every
-/// relay, however fast the answers were: jobs waited for idle servers (score 0.25 in the scenario calm+mass; 0.33 without
-/// the pauses). Pauses are needed only while answers are slower than usual, as when servers are loaded from all sides.
+/// With 300 gateways, each one paused its use of a server, and all its relays, for the time of 24 answers after
+/// every relay, however fast the answers were: jobs waited for idle servers (score 0.25 in the scenario calm+mass;
+/// 0.33 without the pauses). Pauses are needed only while answers are slower than usual, as when servers are loaded
+/// from all sides.
 #[test]
 fn relays_pause_only_while_answers_are_slow() {
     let relayed = |took: u64| {
@@ -182,9 +184,10 @@
     assert!(calm == 200 && slow < 100, "{calm} {slow}");
 }
 
-/// While calls were queued at 300 gateways, jobs of a plan whose overage costs more than the price were granted locally
-/// at even odds, as the gateway's share in a set of 150 is far below one job. In calm+mass most belonged to customers
-/// over their quota, which cost 0.097 of the score. Such a job must wait for its call until the total permits it.
+/// While calls were queued at 300 gateways, jobs of a plan whose overage costs more than the price were granted
+/// locally at even odds, as the gateway's share in a set of 150 is far below one job. In calm+mass most belonged to
+/// customers over their quota, which cost 0.097 of the score. Such a job must wait for its call until the total
+/// permits it.
 #[test]
 fn a_job_with_costly_overage_waits_for_its_queued_call() {
     let (mut gateway, host) = gateway(deployment_of_300(), 400);
--- a/tests/peer_counts.rs
+++ b/tests/peer_counts.rs
@@ -96,8 +96,8 @@
     assert_eq!(relay_count(&host.take()), 1);
 }
 
-/// If gateways of a customer's set have failed, the others' shares of a locally enforced quota grow, but never their shares
-/// of a ceiling.
+/// If gateways of a customer's set have failed, the others' shares of a locally enforced quota grow, but never
+/// their shares of a ceiling.
 #[test]
 fn a_locally_enforced_quota_is_shared_among_the_live_gateways() {
     let granted = |sharers: Option<f64>, plan: usize| {
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -72,8 +72,8 @@
     assert!((1..=6).contains(&calls), "{calls}");
 }
 
-/// Without a counter, every gateway of a set repeatedly rounded its share of the quota up to a whole job, and together
-/// they exceeded the quota. Each may grant one job at first; after that, all together keep to the rate.
+/// Without a counter, every gateway of a set repeatedly rounded its share of the quota up to a whole job, and
+/// together they exceeded the quota. Each may grant one job at first; after that, all together keep to the rate.
 #[test]
 fn gateways_without_a_counter_keep_the_quota_together() {
     let mut sent = 0;
@@ -177,7 +177,8 @@
     assert!(sent <= plan.burst + plan.rate * 10.0 + 8.0, "{sent}");
 }
 
-/// If idle servers take a fifth of the latency target, every answer counted as slow and all limits fell to the minimum.
+/// If idle servers take a fifth of the latency target, every answer counted as slow and all limits fell to the
+/// minimum.
 #[test]
 fn servers_that_are_slow_without_load_are_not_limited_for_it() {
     let mut deployment = Deployment { gateway_count: 12, ..deployment() };
@@ -271,7 +272,8 @@
             }
         }
     }
-    // Each of 60 gateways had two jobs to send within a second; a cold server takes a third of what a warm one does.
+    // Each of 60 gateways had two jobs to send within a second; a cold server takes a third of what a warm one
+    // does.
     assert!((1..=30).contains(&sent), "{sent}");
 }
 
@@ -429,9 +431,9 @@
     assert!((20..150).contains(&sent), "{sent}");
 }
 
-/// Units granted locally while the counter refused calls, more than a window refills, were carried from window to window.
-/// They caused every job to be rejected, and without jobs no call reported them: the customer was locked out at that
-/// gateway for good.
+/// Units granted locally while the counter refused calls, more than a window refills, were carried from window to
+/// window. They caused every job to be rejected, and without jobs no call reported them: the customer was locked
+/// out at that gateway for good.
 #[test]
 fn unreported_units_do_not_lock_out_a_customer_for_good() {
     let (mut gateway, host) = gateway(deployment(), 2);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Property test of the five rules of the `choice` module: two or thirty gateways handle generated sequences of events,
-//! with a counter that returns wrong totals, while a simple model checks every action.
+//! Property test of the five rules of the `choice` module: two or thirty gateways handle generated sequences of
+//! events, with a counter that returns wrong totals, while a simple model checks every action.
 
 mod common;
 
@@ -260,8 +260,9 @@
         }
     }
 
-    /// Rule 4: within no overload window does the cold server get more than the permitted multiple of its capacity, plus one
-    /// job per gateway. The warm capacity is taken to be at most `sent_warm`, what was sent to warm servers.
+    /// Rule 4: within no overload window does the cold server get more than the permitted multiple of its capacity,
+    /// plus one job per gateway. The warm capacity is taken to be at most `sent_warm`, what was sent to warm
+    /// servers.
     fn check_cold(&self, sent_warm: f64) {
         let cold = deployment().cold_start;
         let Some((_, started)) = self.cold else { return };
