--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -45,7 +45,7 @@
 
 /// Requests by tenant.
 type CountsByTenant = BTreeMap<String, u64>;
-/// CountsByTenant by process: its node name and its incarnation.
+/// Requests by tenant, by process: its node name and its incarnation.
 type CountsByProcess = HashMap<(String, u64), CountsByTenant>;
 
 /// Collects the reports of all processes about requests that began and about late responses.
@@ -85,7 +85,7 @@
     /// Adds what has changed since the process's previous report to the counts of each service.
     fn record_timeliness(&self, process: (String, u64), reported: &[ServiceTimeliness]) {
         let previous = self.timeliness.borrow_mut().insert(process, reported.to_vec());
-        // CountsByTenant run from the process's start: its first report says nothing about the present.
+        // Counts run from the process's start: its first report says nothing about the present.
         let Some(previous) = previous else { return };
         let mut timeliness_since_taken = self.timeliness_since_taken.borrow_mut();
         for now in reported {
@@ -134,7 +134,7 @@
     let mut last_reported: Option<u64> = None;
     loop {
         sleep(USAGE_REPORT_INTERVAL).await;
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
+        if !core.is_head() || !core.is_confirmed() || core.time_in_view() < NEW_HEAD_DELAY {
             continue;
         }
         let width = core.settings.bounds.usage_window_s;
@@ -165,7 +165,7 @@
     window: u64,
 ) -> bool {
     let Some(state) = core.committed_state() else { return false };
-    if !state.small.usage.contains_key(&window) {
+    if !state.metadata.usage.contains_key(&window) {
         let counts = collector.window_counts(window);
         if counts.is_empty() {
             return true;
@@ -176,7 +176,7 @@
     }
     // Only committed counts are sent: another head could replace counts that are not committed.
     let Some(state) = core.committed_state() else { return false };
-    let Some(counts) = state.small.usage.get(&window) else { return false };
+    let Some(counts) = state.metadata.usage.get(&window) else { return false };
     let report = serde_json::json!({ "window": window, "counts": counts });
     match call_platform(core, client, platform, "usage", &report).await {
         Some(status) => status.is_success() || status == StatusCode::CONFLICT,
@@ -226,7 +226,7 @@
     loop {
         sleep(SCALING_INTERVAL).await;
         let Some(table) = core.known.routing_table() else { continue };
-        if !core.is_head() || !core.is_confirmed() || core.in_view_for() < NEW_HEAD_DELAY {
+        if !core.is_head() || !core.is_confirmed() || core.time_in_view() < NEW_HEAD_DELAY {
             scalers.clear();
             continue;
         }
@@ -248,7 +248,7 @@
 fn service_load(core: &Core, collector: &UsageCollector, service: &Service) -> ServiceLoad {
     let (responses, late_responses) = collector.take_timeliness(&service.name);
     let mut ready_servers: BTreeMap<String, u32> = BTreeMap::new();
-    for server in &core.known.servers().servers {
+    for server in &core.known.server_list().servers {
         if server.backend == service.name {
             let count = ready_servers.entry(server.zone.clone()).or_default();
             *count += u32::from(server.state == ServerState::Ready);
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -35,7 +35,7 @@
         "run" => run(log_level, policy_file),
         "check-settings" => check_settings(&arguments.free_from_str::<String>()?),
         "check-config" => check_configuration(&arguments.free_from_str::<String>()?),
-        other => anyhow::bail!("unknown command {other:?}: see --help"),
+        other => anyhow::bail!("{other} is no command: see --help"),
     }
 }
 
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -31,7 +31,7 @@
         if core.is_head() || (stale && core.is_link()) {
             match fetch_server_list(&client, platform).await {
                 Ok(servers) => {
-                    core.known.update_servers(Some(reader.assign_version(servers)), started.elapsed())
+                    core.known.update_server_list(Some(reader.assign_version(servers)), started.elapsed())
                 }
                 Err(reason) => log::warn!("{reason}"),
             }
@@ -59,7 +59,7 @@
         match core.caller.call(head.peer, watch, WATCH_WAIT * 2).await {
             Ok(Reply::Watch(news)) => {
                 let age = Duration::from_millis(news.server_list_age_ms);
-                core.known.update_servers(news.server_list, age);
+                core.known.update_server_list(news.server_list, age);
             }
             _ => sleep(WATCH_WAIT / 2).await,
         }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -16,7 +16,7 @@
 
 use crate::core::Core;
 use crate::duties::{report_usage, scale_services, UsageCollector};
-use crate::operator::{routes, Operator, MAX_ORDER_BYTES};
+use crate::operator::{routes, Operator, MAX_REQUEST_BYTES};
 use crate::placement::maintain_placement;
 use crate::platform_reader::{read_server_list, watch_head};
 use crate::store;
@@ -64,9 +64,11 @@
     collector: Rc<UsageCollector>,
     /// Adds up the server statistics of the processes that report to this machine.
     home: Rc<RefCell<StatsAggregator>>,
+    /// Origin of the times given to `home`.
     started: Instant,
 }
 
+/// Answers a call from another process of the tier.
 async fn answer(context: AnswerContext, request: Request) -> Reply {
     let AnswerContext { core, collector, home, started } = context;
     match request {
@@ -83,8 +85,8 @@
             spawn_local(core.handle_message(*envelope));
             Reply::Acknowledged
         }
-        Request::StoreHeartbeat(presence) => {
-            core.presence.record(presence);
+        Request::StoreHeartbeat(heartbeats) => {
+            core.heartbeats.record(heartbeats);
             Reply::Acknowledged
         }
         Request::Usage(report) => {
@@ -101,7 +103,7 @@
         let listener = TcpListener::bind(control).await?;
         let operator = Data::new(Operator { core });
         let app =
-            App::new().app_data(PayloadConfig::new(MAX_ORDER_BYTES)).app_data(operator).configure(routes);
+            App::new().app_data(PayloadConfig::new(MAX_REQUEST_BYTES)).app_data(operator).configure(routes);
         spawn_local(serve_http(listener, app, HttpTimeouts::default()));
     }
     wait_for_shutdown_signal().await;
