--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -17,7 +17,7 @@
     Coordinator, Effects, Envelope, Identity, Member, Message, Progress, Replica, Timing, View, ViewRules,
 };
 use fennelgauge_settings::Settings;
-use fennelgauge_upstream::Known;
+use fennelgauge_upstream::TierState;
 use fennelgauge_versions::VersionsError;
 use fennelgauge_wire::{Caller, Request};
 use tokio::sync::{Mutex, Notify};
@@ -42,7 +42,7 @@
 pub struct Core {
     pub me: Member,
     pub settings: Rc<Settings>,
-    pub known: Rc<Known>,
+    pub known: Rc<TierState>,
     pub caller: Caller,
     /// The stores that have told of themselves.
     pub presence: Presence,
@@ -62,7 +62,7 @@
     /// Opens what this machine has on disk.
     pub fn open(
         settings: Rc<Settings>,
-        known: Rc<Known>,
+        known: Rc<TierState>,
         caller: Caller,
         peer: SocketAddr,
     ) -> Result<Rc<Self>, VersionsError> {
@@ -89,7 +89,7 @@
     }
 
     /// Keeps this machine's part in the core, without end.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         loop {
             self.take(|coordinator, now| ((), coordinator.tick(now))).await;
             sleep(TICK_EVERY).await;
@@ -97,7 +97,7 @@
     }
 
     /// Takes a message of another machine's.
-    pub async fn hear(self: Rc<Self>, envelope: Envelope) {
+    pub async fn handle_message(self: Rc<Self>, envelope: Envelope) {
         if self.waiting.get() >= MOST_WAITING {
             return;
         }
@@ -156,17 +156,17 @@
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
         if replica.latest_view().epoch > 0 {
-            self.known.take_view(replica.latest_view());
+            self.known.update_view(replica.latest_view());
         }
         if let Some(confirmed) = coordinator.quorum_confirmed_at() {
-            self.known.take_confirmed(self.started.elapsed().saturating_sub(confirmed));
+            self.known.update_view_confirmation(self.started.elapsed().saturating_sub(confirmed));
         }
         let Some(state) = replica.committed_value() else { return };
         if state.generation() > self.known.generation() {
-            self.known.take_configuration(state.generation(), state.configuration.json().to_vec());
+            self.known.update_configuration(state.generation(), state.configuration.json().to_vec());
         }
         if state.small.stores.epoch > self.known.stores().epoch {
-            self.known.take_stores(state.small.stores.clone());
+            self.known.update_stores(state.small.stores.clone());
         }
     }
 
--- a/crates/standins/examples/hollow.rs
+++ b/crates/standins/examples/hollow.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use fennelgauge_control_plane::process;
-use fennelgauge_standins::{configuration, start_platform, Platform, Ports, Tier};
-use fennelgauge_upstream::{subscribe, Known, Subscription};
+use fennelgauge_standins::{sample_configuration, start_platform, Platform, Ports, Tier};
+use fennelgauge_upstream::{subscribe, Subscription, TierState};
 use fennelgauge_wire::Caller;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
@@ -30,27 +30,27 @@
 }
 
 async fn measure(count: usize, salt: u32) -> anyhow::Result<()> {
-    let ports = Ports::free(std::process::id() + 100 * salt).expect("free ports");
+    let ports = Ports::find_free(std::process::id() + 100 * salt).expect("free ports");
     let folder = std::env::temp_dir().join(format!("fennelgauge-hollow-{}-{salt}", std::process::id()));
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let tier = Tier {
         ports,
-        folder: folder.clone(),
-        platform: listener.local_addr()?,
-        core: 3,
-        losses: 1,
-        relayed: false,
+        directory: folder.clone(),
+        platform_address: listener.local_addr()?,
+        core_machines: 3,
+        tolerated_losses: 1,
+        uses_relays: false,
     };
     start_platform(listener, Rc::new(Platform::default()));
     for machine in 0..3 {
-        let settings = Tier::read(&tier.core_settings(machine))?;
+        let settings = Tier::parse_settings(&tier.core_settings(machine))?;
         spawn_local(async move { process::run(settings).await });
     }
     let client = awc::Client::default();
     put(&client, &tier, 0, 1).await;
     let memory_before = status_kb("VmRSS");
-    let seeds = Tier::read(&tier.core_settings(0))?.seed_peer_addresses();
-    let followers: Vec<Rc<Known>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
+    let seeds = Tier::parse_settings(&tier.core_settings(0))?.seed_peer_addresses();
+    let followers: Vec<Rc<TierState>> = (0..count).map(|number| follow(number, seeds.clone())).collect();
     wait_for(&followers, 1).await;
     let mut times: Vec<f64> = Vec::new();
     for generation in 2..CHANGES + 2 {
@@ -70,8 +70,8 @@
     Ok(())
 }
 
-fn follow(number: usize, seeds: Vec<std::net::SocketAddr>) -> Rc<Known> {
-    let known = Rc::new(Known::default());
+fn follow(number: usize, seeds: Vec<std::net::SocketAddr>) -> Rc<TierState> {
+    let known = Rc::new(TierState::default());
     let subscription = Subscription {
         node: format!("hollow-{number}"),
         zone: format!("zone-{}", number % 3),
@@ -81,7 +81,7 @@
     known
 }
 
-async fn wait_for(followers: &[Rc<Known>], generation: u64) {
+async fn wait_for(followers: &[Rc<TierState>], generation: u64) {
     while followers.iter().any(|known| known.generation() < generation) {
         sleep(Duration::from_millis(1)).await;
     }
@@ -89,9 +89,9 @@
 
 async fn put(client: &awc::Client, tier: &Tier, base: u64, generation: u64) {
     loop {
-        let call = client.post(format!("http://{}/-/Config.Put", tier.control(0)));
+        let call = client.post(format!("http://{}/-/Config.Put", tier.control_address(0)));
         let call = call.insert_header(("X-Fennelgauge-Base-Version", base.to_string()));
-        match call.timeout(Duration::from_secs(2)).send_json(&configuration(generation)).await {
+        match call.timeout(Duration::from_secs(2)).send_json(&sample_configuration(generation)).await {
             Ok(answer) if answer.status().is_success() => return,
             _ => sleep(Duration::from_millis(100)).await,
         }
