--- a/crates/control-plane/src/core/groups.rs
+++ b/crates/control-plane/src/core/groups.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    GiveUp, GiveUpRefusal, GivenUp, GroupNumber, HolderSeen, LastHolder, Planner, StoreNumber, StoreView,
-    GIVE_UP_AFTER,
+    GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, LastHolder, Planner, StoreNumber,
+    StoreView, MIN_SILENCE_BEFORE_GIVE_UP,
 };
 use fennelgauge_upstream::wall_clock;
 use fennelgauge_wire::{GiveUpReply, GroupStatus, GroupStatusReply};
@@ -20,7 +20,7 @@
     /// The same order was carried out before.
     AlreadyDone,
     /// The order does not fit the state of the group.
-    Refused(GiveUpRefusal),
+    Refused(GiveUpError),
 }
 
 impl Core {
@@ -46,7 +46,7 @@
     }
 
     /// Gives up a group as an operator ordered, if this member is the head.
-    pub(super) async fn give_up_group(self: &Rc<Self>, order: &GiveUp) -> GiveUpReply {
+    pub(super) async fn give_up_group(self: &Rc<Self>, order: &GiveUpRequest) -> GiveUpReply {
         if !self.is_head() || !self.has_heard_from_stores() {
             return GiveUpReply::Unavailable;
         }
@@ -61,10 +61,10 @@
                 let seen = self.holder_states(view, order.group);
                 let planner = Planner::new(tolerated_failures, &live_stores, false);
                 let job_ids = self.known_job_ids(state, order.group);
-                let next = planner.give_up(view, order, &seen, job_ids, GIVE_UP_AFTER);
+                let next = planner.give_up(view, order, &seen, job_ids, MIN_SILENCE_BEFORE_GIVE_UP);
                 let next = next.map_err(GiveUpRejection::Refused)?;
                 let at_ms = wall_clock().as_millis() as u64;
-                let given_up = GivenUp { order: order.clone(), begun_in: next.epoch, at_ms };
+                let given_up = GiveUpRecord { order: order.clone(), recreated_in_epoch: next.epoch, at_ms };
                 Ok(StateChange::GiveUp { given_up, stores: next })
             })
             .await;
@@ -100,7 +100,7 @@
 
     /// Returns the holders of a group with how long each has been silent. A store without a heartbeat here counts as
     /// silent for as long as this member has been in its view.
-    fn holder_states(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderSeen> {
+    fn holder_states(&self, view: &StoreView, group: GroupNumber) -> Vec<HolderStatus> {
         let seen = |number: StoreNumber| {
             let identity = &view.store(number)?.member.identity;
             let report = self.heartbeats.last_report(identity, group);
@@ -110,9 +110,9 @@
                 None => Some(self.time_in_view()),
             };
             let holder = LastHolder { node: identity.node.clone(), entries: report.entries };
-            Some(HolderSeen { holder, silent_for: silent_for.map(whole_seconds) })
+            Some(HolderStatus { holder, silent_for: silent_for.map(whole_seconds) })
         };
-        view.holders_on_record(group).into_iter().filter_map(seen).collect()
+        view.recorded_holders(group).into_iter().filter_map(seen).collect()
     }
 }
 
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{
-    Coordinator, Envelope, Identity, Member, Message, Outcome, Progress, Replica, Timing, View, ViewRules,
+    Coordinator, Effects, Envelope, Identity, Member, Message, Progress, Replica, Timing, View, ViewRules,
 };
 use fennelgauge_settings::Settings;
-use fennelgauge_upstream::Known;
+use fennelgauge_upstream::TierState;
 use fennelgauge_versions::VersionsError;
 use fennelgauge_wire::{Caller, Request};
 use tokio::sync::{Mutex, Notify};
@@ -46,7 +46,7 @@
     /// Settings of this process.
     pub settings: Rc<Settings>,
     /// Configuration, server list and views that this process has and serves to watchers.
-    pub known: Rc<Known>,
+    pub known: Rc<TierState>,
     /// Makes calls to other processes of the tier.
     pub caller: Caller,
     /// Heartbeats received from the stores.
@@ -70,13 +70,13 @@
     /// one. Fails if the directory cannot be read or written.
     pub fn open(
         settings: Rc<Settings>,
-        known: Rc<Known>,
+        known: Rc<TierState>,
         caller: Caller,
         peer: SocketAddr,
     ) -> Result<Rc<Self>, VersionsError> {
         let opened = Storage::open(&settings)?;
         let me = member(&settings, opened.identity, peer);
-        let rules = ViewRules::for_losses(settings.tolerate.tolerated_failures());
+        let rules = ViewRules::tolerating(settings.tolerate.tolerated_failures());
         let replica = Replica::new(me.clone(), settings.counts_for_quorum, rules, opened.stored);
         let seeds = settings.seed_peer_addresses();
         let coordinator = Coordinator::new(replica, Timing::default(), seeds, Duration::ZERO);
@@ -118,7 +118,7 @@
     /// Runs one step of the coordinator, its writes and messages, and publishes the result. Steps never overlap.
     async fn run_step<A>(
         self: &Rc<Self>,
-        step: impl FnOnce(&mut Coordinator<ControlState>, Duration) -> (A, Outcome),
+        step: impl FnOnce(&mut Coordinator<ControlState>, Duration) -> (A, Effects),
     ) -> A {
         let _guard = self.step_lock.lock().await;
         let now = self.started.elapsed();
@@ -130,7 +130,7 @@
     }
 
     /// Writes to the disk, repeating until that succeeds, and then sends the messages: they promise what was written.
-    async fn execute(self: &Rc<Self>, outcome: Outcome) {
+    async fn execute(self: &Rc<Self>, outcome: Effects) {
         if outcome.write_record || outcome.write_value {
             let writes = self.writes(&outcome);
             while !self.storage.write(writes.clone()).await {
@@ -143,7 +143,7 @@
     }
 
     /// Collects the data that an outcome requires to be written.
-    fn writes(&self, outcome: &Outcome) -> Writes {
+    fn writes(&self, outcome: &Effects) -> Writes {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
         Writes {
@@ -165,24 +165,24 @@
     fn publish(&self) {
         let coordinator = self.coordinator.borrow();
         let replica = coordinator.replica();
-        if replica.newest_view().epoch > 0 {
-            self.known.take_view(replica.newest_view());
+        if replica.latest_view().epoch > 0 {
+            self.known.update_view(replica.latest_view());
         }
-        if let Some(confirmed) = coordinator.confirmed_at() {
-            self.known.take_confirmed(self.started.elapsed().saturating_sub(confirmed));
+        if let Some(confirmed) = coordinator.quorum_confirmed_at() {
+            self.known.update_view_confirmation(self.started.elapsed().saturating_sub(confirmed));
         }
         let Some(state) = replica.committed_value() else { return };
         if state.generation() > self.known.generation() {
-            self.known.take_configuration(state.generation(), state.configuration.json().to_vec());
+            self.known.update_configuration(state.generation(), state.configuration.json().to_vec());
         }
         if state.metadata.stores.epoch > self.known.stores().epoch {
-            self.known.take_stores(state.metadata.stores.clone());
+            self.known.update_stores(state.metadata.stores.clone());
         }
     }
 
     /// Returns the newest view that this member knows.
     pub fn view(&self) -> View {
-        self.coordinator.borrow().replica().newest_view().clone()
+        self.coordinator.borrow().replica().latest_view().clone()
     }
 
     /// Returns the epoch of the view that this member votes in; as head, its fencing token towards the platform.
@@ -207,20 +207,21 @@
 
     /// Returns how long this member has been in its view.
     pub fn time_in_view(&self) -> Duration {
-        self.started.elapsed().saturating_sub(self.coordinator.borrow().installed_at())
+        self.started.elapsed().saturating_sub(self.coordinator.borrow().view_installed_at())
     }
 
     /// Returns true if a majority confirmed this member's view within `CONFIRMATION_MAX_AGE`.
     pub fn is_confirmed(&self) -> bool {
-        let confirmed = self.coordinator.borrow().confirmed_at();
+        let confirmed = self.coordinator.borrow().quorum_confirmed_at();
         confirmed.is_some_and(|at| self.started.elapsed().saturating_sub(at) < CONFIRMATION_MAX_AGE)
     }
 
     /// Asks a majority whether this member's view is still current, and returns true if it confirms that in time. Then
     /// nothing was committed, up to the start of this call, that this member does not know.
     pub async fn confirm_view(self: &Rc<Self>, until: Instant) -> bool {
-        let question = self.run_step(|coordinator, now| coordinator.ask_majority(now)).await;
-        self.wait_for_progress(until, |coordinator| coordinator.answer_to(question)).await == Progress::Done
+        let question = self.run_step(|coordinator, now| coordinator.start_quorum_check(now)).await;
+        self.wait_for_progress(until, |coordinator| coordinator.quorum_check_progress(question)).await
+            == Progress::Done
     }
 
     /// Waits until `progress` is no longer waiting, or the time is up; returns the last progress.
@@ -232,7 +233,7 @@
         loop {
             let stepped = self.stepped.notified();
             let current = progress(&self.coordinator.borrow());
-            if current != Progress::Waiting || timeout_at(until, stepped).await.is_err() {
+            if current != Progress::Pending || timeout_at(until, stepped).await.is_err() {
                 return current;
             }
         }
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -54,17 +54,18 @@
         let until = Instant::now() + WRITE_LOCK_TIMEOUT;
         let guard = timeout_at(until, self.write_lock.lock()).await;
         let _guard = guard.map_err(|_| WriteError::NotAccepted)?;
-        let ready = self.wait_for_progress(until, |coordinator| match coordinator.replica().takes_writes() {
-            Ok(()) => Progress::Done,
-            Err(_) if coordinator.replica().is_head() => Progress::Waiting,
-            Err(_) => Progress::Overtaken,
-        });
+        let ready =
+            self.wait_for_progress(until, |coordinator| match coordinator.replica().check_writable() {
+                Ok(()) => Progress::Done,
+                Err(_) if coordinator.replica().is_head() => Progress::Pending,
+                Err(_) => Progress::Superseded,
+            });
         if ready.await != Progress::Done {
             return Err(WriteError::NotAccepted);
         }
         let started = self.run_step(|coordinator, now| {
             let replica = coordinator.replica();
-            if replica.takes_writes().is_err() {
+            if replica.check_writable().is_err() {
                 return (Err(WriteError::NotAccepted), Default::default());
             }
             match change(replica.value()) {
@@ -83,9 +84,9 @@
             Err(answer) => return Ok(Err(answer)),
         };
         let until = Instant::now() + COMMIT_TIMEOUT;
-        match self.wait_for_progress(until, |coordinator| coordinator.progress_of(version)).await {
+        match self.wait_for_progress(until, |coordinator| coordinator.write_progress(version)).await {
             Progress::Done => Ok(Ok(())),
-            Progress::Waiting | Progress::Overtaken => Err(WriteError::OutcomeUnknown),
+            Progress::Pending | Progress::Superseded => Err(WriteError::OutcomeUnknown),
         }
     }
 
@@ -123,7 +124,7 @@
             return None;
         }
         let coordinator = self.coordinator.borrow();
-        let state = coordinator.value_for_reads().filter(|state| state.generation() > 0)?;
+        let state = coordinator.readable_value().filter(|state| state.generation() > 0)?;
         Some(ConfigurationBytes(state.configuration.json().to_vec()))
     }
 
--- a/crates/control-plane/src/core/storage.rs
+++ b/crates/control-plane/src/core/storage.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc;
 use std::sync::Arc;
 
-use fennelgauge_coordination::{Identity, Record, Stored, Version};
+use fennelgauge_coordination::{DurableState, Identity, Version, VotingRecord};
 use fennelgauge_settings::Settings;
 use fennelgauge_versions::{NewestVersion, VersionDirectory, VersionName, VersionsError};
 use fennelgauge_wire::{decode, encode};
@@ -28,7 +28,7 @@
 #[derive(Serialize, Deserialize)]
 struct RecordFile {
     disk: u64,
-    record: Record,
+    record: VotingRecord,
 }
 
 /// A version of the control state; its configuration is in a file of its own.
@@ -44,7 +44,7 @@
 #[derive(Clone, Default)]
 pub struct Writes {
     /// The record of the member's promises, if it changed.
-    pub record: Option<Record>,
+    pub record: Option<VotingRecord>,
     /// The control state and its version, if it changed.
     pub value: Option<(Version, Arc<ControlState>)>,
 }
@@ -69,7 +69,7 @@
     /// The member's identity: the stored one, or a new one.
     pub identity: Identity,
     /// The record and the control state that were read; initial ones if the directory was empty or unreadable.
-    pub stored: Stored<ControlState>,
+    pub stored: DurableState<ControlState>,
     /// Writes to the opened directory.
     pub storage: Storage,
 }
@@ -81,13 +81,13 @@
         let Some(path) = &settings.data_dir else {
             let identity = Identity { node: settings.node.clone(), disk: random_number() };
             let storage = Self { jobs: None };
-            return Ok(Opened { identity, stored: Stored::first(&seeds), storage });
+            return Ok(Opened { identity, stored: DurableState::empty(&seeds), storage });
         };
         let mut writer = Writer::open(path)?;
         let found = writer.load()?;
         let stored = match found {
             Some(stored) => stored,
-            None => Stored::first(&seeds),
+            None => DurableState::empty(&seeds),
         };
         if settings.bootstrap && writer.records == 0 {
             // Only the settings of the very first start have the seeds.
@@ -161,7 +161,7 @@
 
     /// Returns what the directory holds, or `None` if it is empty or a part of it is missing or unreadable. In the latter
     /// cases the member gets a new identity.
-    fn load(&mut self) -> Result<Option<Stored<ControlState>>, VersionsError> {
+    fn load(&mut self) -> Result<Option<DurableState<ControlState>>, VersionsError> {
         let contents = self.load_contents()?;
         if let Contents::Complete(stored) = contents {
             return Ok(Some(*stored));
@@ -200,7 +200,7 @@
             NewestVersion::Corrupt => None,
             // The member stopped before it made its first promise.
             NewestVersion::None if self.values == 0 => {
-                return Ok(Contents::Complete(Box::new(Stored::first(&[]))))
+                return Ok(Contents::Complete(Box::new(DurableState::empty(&[]))))
             }
             NewestVersion::None => None,
         };
@@ -213,12 +213,12 @@
             }
             NewestVersion::Corrupt => None,
             NewestVersion::None => {
-                let first = Stored::first(&[]);
+                let first = DurableState::empty(&[]);
                 Some((first.version, first.value))
             }
         };
         let Some((version, value)) = value else { return Ok(Contents::Incomplete) };
-        Ok(Contents::Complete(Box::new(Stored { record: record.record, version, value })))
+        Ok(Contents::Complete(Box::new(DurableState { record: record.record, version, value })))
     }
 
     /// Reads the configuration of a value, and notes both as kept.
@@ -244,7 +244,7 @@
         Ok(())
     }
 
-    fn write_record(&mut self, record: &Record) -> Result<(), VersionsError> {
+    fn write_record(&mut self, record: &VotingRecord) -> Result<(), VersionsError> {
         self.records += 1;
         let file = RecordFile { disk: self.disk, record: record.clone() };
         self.record_directory.write(version_name(self.records), &encode(&file))?;
@@ -294,7 +294,7 @@
     /// Nothing was ever written.
     Empty,
     /// Everything can be read.
-    Complete(Box<Stored<ControlState>>),
+    Complete(Box<DurableState<ControlState>>),
     /// A part is missing or cannot be read.
     Incomplete,
 }
--- a/crates/control-plane/src/core/storage/tests.rs
+++ b/crates/control-plane/src/core/storage/tests.rs
@@ -43,12 +43,12 @@
 }
 
 /// Returns a record that promises a ballot of this round to another member.
-fn record_promising(stored: &Stored<ControlState>, round: u64) -> Record {
+fn record_promising(stored: &DurableState<ControlState>, round: u64) -> VotingRecord {
     let view = stored.record.acceptor.view.clone();
     let mut acceptor = Acceptor::new(view);
     let proposer = Identity { node: "b".to_owned(), disk: 7 };
     acceptor.prepare(&Ballot { round, proposer }).expect("promised");
-    Record { acceptor, held: None }
+    VotingRecord { acceptor, persist_request: None }
 }
 
 fn files(path: &Path, name: &str) -> Vec<PathBuf> {
@@ -61,7 +61,7 @@
 
 /// Creates a data directory with an identity, two records and two values, and returns the identity and the newest
 /// record with it.
-fn filled_directory(name: &str) -> (PathBuf, Identity, Record) {
+fn filled_directory(name: &str) -> (PathBuf, Identity, VotingRecord) {
     let path = empty_directory(name);
     let opened = Storage::open(&settings(&path, true)).expect("opened");
     let first = record_promising(&opened.stored, 1);
--- a/crates/control-plane/src/core/tests.rs
+++ b/crates/control-plane/src/core/tests.rs
@@ -159,7 +159,7 @@
         ));
         let watch = WatchRequest { known: Default::default(), wait_ms: 0 };
         let started = Instant::now();
-        while old.core.known.answer_in_touch(&watch).await.configuration.is_some() {
+        while old.core.known.wait_for_confirmed_update(&watch).await.configuration.is_some() {
             assert!(started.elapsed() < TEST_TIMEOUT, "it hands out an old configuration");
             sleep(TICK_INTERVAL).await;
         }
--- a/crates/control-plane/src/duties.rs
+++ b/crates/control-plane/src/duties.rs
@@ -12,7 +12,7 @@
 
 use awc::http::StatusCode;
 use fennelgauge_model::{ServerState, Service};
-use fennelgauge_upstream::{client, wall_clock, FENCING_TOKEN, LEASE_HOLDER};
+use fennelgauge_upstream::{platform_client, wall_clock, FENCING_TOKEN, LEASE_HOLDER};
 use fennelgauge_wire::{ServiceTimeliness, UsageReport};
 use tokio::time::{sleep, Instant};
 
@@ -130,7 +130,7 @@
     if !core.settings.cloud.duties.iter().any(|duty| duty == "usage_report") {
         return;
     }
-    let client = client();
+    let client = platform_client();
     let mut last_reported: Option<u64> = None;
     loop {
         sleep(USAGE_REPORT_INTERVAL).await;
@@ -220,12 +220,12 @@
     if !core.settings.cloud.duties.iter().any(|duty| duty == "autoscale") {
         return;
     }
-    let client = client();
+    let client = platform_client();
     let started = Instant::now();
     let mut scalers: HashMap<String, Scaler> = HashMap::new();
     loop {
         sleep(SCALING_INTERVAL).await;
-        let Some(table) = core.known.table() else { continue };
+        let Some(table) = core.known.routing_table() else { continue };
         if !core.is_head() || !core.is_confirmed() || core.time_in_view() < NEW_HEAD_DELAY {
             scalers.clear();
             continue;
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -3,7 +3,9 @@
 use actix_web::http::StatusCode;
 use actix_web::web::{self, Bytes, Data};
 use actix_web::HttpResponse;
-use fennelgauge_coordination::{GiveUp, GiveUpRefusal, GivenUp, GroupNumber, HolderSeen, LastHolder, View};
+use fennelgauge_coordination::{
+    GiveUpError, GiveUpRecord, GiveUpRequest, GroupNumber, HolderStatus, LastHolder, View,
+};
 use fennelgauge_wire::{CoreReply, CoreRequest, GiveUpReply, GroupStatus, GroupStatusReply};
 use serde::{Deserialize, Serialize};
 
@@ -92,7 +94,7 @@
             return error_response(StatusCode::BAD_REQUEST, &format!("the body is no such order: {reason}"))
         }
     };
-    let order = GiveUp { group, epoch: body.view, holders: body.holders, forced: body.force };
+    let order = GiveUpRequest { group, epoch: body.view, holders: body.holders, forced: body.force };
     let head = |view: &View| view.head().cloned();
     match operator.ask(head, CoreRequest::GiveUp(order), HEAD_REQUEST_TIMEOUT).await {
         Some(CoreReply::GiveUp(GiveUpReply::Done)) => HttpResponse::Ok().finish(),
@@ -117,10 +119,10 @@
 }
 
 /// Returns the response to an order that the head refused.
-fn refused_response(reason: &GiveUpRefusal) -> HttpResponse {
+fn refused_response(reason: &GiveUpError) -> HttpResponse {
     let status = match reason {
-        GiveUpRefusal::UnknownGroup(_) => StatusCode::NOT_FOUND,
-        GiveUpRefusal::OtherView { .. } => StatusCode::PRECONDITION_FAILED,
+        GiveUpError::UnknownGroup(_) => StatusCode::NOT_FOUND,
+        GiveUpError::StaleView { .. } => StatusCode::PRECONDITION_FAILED,
         _ => StatusCode::CONFLICT,
     };
     error_response(status, &reason.to_string())
@@ -128,18 +130,14 @@
 
 impl From<GroupStatus> for GroupBody {
     fn from(report: GroupStatus) -> Self {
-        let holder = |HolderSeen { holder, silent_for }: HolderSeen| HolderBody {
+        let holder = |HolderStatus { holder, silent_for }: HolderStatus| HolderBody {
             node: holder.node,
             entries: holder.entries,
             heard: silent_for.is_none(),
             silent_s: silent_for.map_or(0, |silent_for| silent_for.as_secs()),
         };
-        let given_up = |GivenUp { order, begun_in, at_ms }: GivenUp| GivenUpBody {
-            view: order.epoch,
-            begun_in,
-            holders: order.holders,
-            forced: order.forced,
-            at_ms,
+        let given_up = |GiveUpRecord { order, recreated_in_epoch: begun_in, at_ms }: GiveUpRecord| {
+            GivenUpBody { view: order.epoch, begun_in, holders: order.holders, forced: order.forced, at_ms }
         };
         Self {
             group: report.group,
--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Identity, Planner, StoreNumber, StoreView};
+use fennelgauge_coordination::{GroupNumber, Identity, Planner, StoreNumber, StoreReport, StoreView};
 use fennelgauge_wire::StoreHeartbeat;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
@@ -36,7 +36,7 @@
     /// The newest heartbeat of each store, without stores known to be lost.
     stores: RefCell<HashMap<Identity, ReceivedHeartbeat>>,
     /// The last report of every store heard within [`LAST_REPORT_TTL`], also of silent ones.
-    last_reports: RefCell<HashMap<Identity, StoreReport>>,
+    last_reports: RefCell<HashMap<Identity, StoreEntryCounts>>,
     /// Ids of accepted batch jobs by group, the newest last.
     job_ids: RefCell<BTreeMap<GroupNumber, VecDeque<String>>>,
     /// Notified when a store is new or reports something new about its groups; used while a group is closed.
@@ -45,12 +45,12 @@
 
 /// A store's newest heartbeat and when it arrived.
 struct ReceivedHeartbeat {
-    store: Heard,
+    store: StoreReport,
     at: Instant,
 }
 
 /// What a store reported last about its groups.
-struct StoreReport {
+struct StoreEntryCounts {
     /// When the store's last heartbeat arrived.
     at: Instant,
     /// Number of entries in each group.
@@ -78,7 +78,7 @@
             last_reports.retain(|_, report| report.at.elapsed() < LAST_REPORT_TTL);
             let report = last_reports
                 .entry(identity.clone())
-                .or_insert_with(|| StoreReport { at, entry_counts: HashMap::new() });
+                .or_insert_with(|| StoreEntryCounts { at, entry_counts: HashMap::new() });
             report.at = at;
             report.entry_counts.extend(entry_counts);
         }
@@ -116,10 +116,11 @@
     }
 
     /// Returns the stores that sent a heartbeat within [`STORE_LIVENESS_TIMEOUT`], in the order of their identities.
-    pub fn live_stores(&self) -> Vec<Heard> {
+    pub fn live_stores(&self) -> Vec<StoreReport> {
         let mut stores = self.stores.borrow_mut();
         stores.retain(|_, heartbeat| heartbeat.at.elapsed() < STORE_LIVENESS_TIMEOUT);
-        let mut live_stores: Vec<Heard> = stores.values().map(|heartbeat| heartbeat.store.clone()).collect();
+        let mut live_stores: Vec<StoreReport> =
+            stores.values().map(|heartbeat| heartbeat.store.clone()).collect();
         live_stores.sort_by(|left, right| left.member.identity.cmp(&right.member.identity));
         live_stores
     }
@@ -169,7 +170,7 @@
 
 /// Records the ids of the batch jobs of groups whose holders are all silent: if such a group is given up, only this
 /// record tells which jobs were lost.
-async fn record_lost_jobs(core: &Rc<Core>, state: &ControlState, live_stores: &[Heard]) {
+async fn record_lost_jobs(core: &Rc<Core>, state: &ControlState, live_stores: &[StoreReport]) {
     let view = &state.metadata.stores;
     let is_live = |number: &StoreNumber| {
         let store = view.store(*number);
@@ -177,7 +178,7 @@
             .is_some_and(|store| live_stores.iter().any(|live| live.member.identity == store.member.identity))
     };
     let groups_at_risk = GroupNumber::all().filter(|group| {
-        let holders = view.holders_on_record(*group);
+        let holders = view.recorded_holders(*group);
         !holders.is_empty() && !holders.iter().any(is_live)
     });
     let lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>> = groups_at_risk
@@ -201,7 +202,7 @@
 /// Returns the change that brings placement and retirements up to date, or `None` if they are.
 fn plan_change(
     state: &ControlState,
-    live_stores: &[Heard],
+    live_stores: &[StoreReport],
     tolerated_failures: usize,
     may_place_first: bool,
 ) -> Option<StateChange> {
@@ -217,7 +218,7 @@
 }
 
 /// Logs one line for each group whose stores change, with the stores that are live.
-fn log_view_changes(view: &StoreView, next: &StoreView, live_stores: &[Heard]) {
+fn log_view_changes(view: &StoreView, next: &StoreView, live_stores: &[StoreReport]) {
     if !log::log_enabled!(log::Level::Info) {
         return;
     }
--- a/crates/control-plane/src/platform_reader.rs
+++ b/crates/control-plane/src/platform_reader.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_upstream::{client, read_list, Reader};
+use fennelgauge_upstream::{fetch_server_list, platform_client, ServerListVersioner};
 use fennelgauge_wire::{KnownVersions, Reply, Request, WatchRequest};
 use tokio::time::{sleep, Instant};
 
@@ -23,14 +23,16 @@
 /// if the settings name no platform; otherwise never.
 pub async fn read_server_list(core: Rc<Core>) {
     let Some(platform) = core.settings.cloud.addr else { return };
-    let client = client();
-    let mut reader = Reader::new(random_number());
+    let client = platform_client();
+    let mut reader = ServerListVersioner::new(random_number());
     loop {
         let started = Instant::now();
-        let stale = core.known.servers_age().is_none_or(|age| age > STALE_LIST_AGE);
+        let stale = core.known.server_list_age().is_none_or(|age| age > STALE_LIST_AGE);
         if core.is_head() || (stale && core.is_link()) {
-            match read_list(&client, platform).await {
-                Ok(servers) => core.known.take_servers(Some(reader.numbered(servers)), started.elapsed()),
+            match fetch_server_list(&client, platform).await {
+                Ok(servers) => {
+                    core.known.update_servers(Some(reader.assign_version(servers)), started.elapsed())
+                }
                 Err(reason) => log::warn!("{reason}"),
             }
         }
@@ -51,13 +53,13 @@
             generation: u64::MAX,
             store_view: u64::MAX,
             core_view: u64::MAX,
-            ..core.known.have()
+            ..core.known.known_versions()
         };
         let watch = Request::Watch(WatchRequest { known: have, wait_ms: WATCH_WAIT.as_millis() as u64 });
         match core.caller.call(head.peer, watch, WATCH_WAIT * 2).await {
             Ok(Reply::Watch(news)) => {
                 let age = Duration::from_millis(news.server_list_age_ms);
-                core.known.take_servers(news.server_list, age);
+                core.known.update_servers(news.server_list, age);
             }
             _ => sleep(WATCH_WAIT / 2).await,
         }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -8,7 +8,7 @@
 use fennelgauge_http::{serve_http, wait_for_shutdown_signal, HttpTimeouts};
 use fennelgauge_settings::Settings;
 use fennelgauge_sharing::StatsAggregator;
-use fennelgauge_upstream::{subscribe, Known, Subscription};
+use fennelgauge_upstream::{subscribe, Subscription, TierState};
 use fennelgauge_wire::{serve, Caller, Reply, Request};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -33,7 +33,7 @@
 
 /// Runs a core member until a signal stops the process.
 async fn run_core(settings: Rc<Settings>) -> anyhow::Result<()> {
-    let known = Rc::new(Known::of_source());
+    let known = Rc::new(TierState::for_source());
     let caller = Caller::with_source(settings.peer_source_ip());
     let advertised_peer = settings.advertised_peer_address();
     let core = Core::open(settings.clone(), known.clone(), caller.clone(), advertised_peer)?;
@@ -72,14 +72,14 @@
 async fn answer(context: AnswerContext, request: Request) -> Reply {
     let AnswerContext { core, collector, home, started } = context;
     match request {
-        Request::ServerLoad(report) => match home.borrow_mut().add_report(report, started.elapsed()) {
-            Ok(sums) => Reply::ServerLoad(sums),
+        Request::ServerStats(report) => match home.borrow_mut().add_report(report, started.elapsed()) {
+            Ok(sums) => Reply::ServerStats(sums),
             Err(reason) => {
                 log::warn!("rejected a report of server statistics: {reason}");
                 Reply::Unsupported
             }
         },
-        Request::Watch(watch) => Reply::Watch(Box::new(core.known.answer_in_touch(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(core.known.wait_for_confirmed_update(&watch).await)),
         Request::Core(request) => Reply::Core(core.answer(request).await),
         Request::Coordination(envelope) => {
             spawn_local(core.handle_message(*envelope));
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use fennelgauge_coordination::{content_digest, GiveUp, GivenUp, GroupNumber, Replicated, StoreView};
+use fennelgauge_coordination::{
+    content_digest, GiveUpRecord, GiveUpRequest, GroupNumber, Replicated, StoreView,
+};
 use fennelgauge_encoding::{compress, decompress};
 use fennelgauge_model::{apply_patch, Document};
 use fennelgauge_wire::{decode, encode, ChangeKind, ConfigurationChange};
@@ -75,14 +77,14 @@
     /// Committed request counts by usage window and tenant. A window's counts never change.
     pub usage: BTreeMap<u64, BTreeMap<String, u64>>,
     /// Groups that operators gave up, oldest first.
-    given_up: Vec<GivenUp>,
+    given_up: Vec<GiveUpRecord>,
     /// Ids of batch jobs that would be lost with their group, recorded while all holders of the group were silent.
     lost_jobs: BTreeMap<GroupNumber, BTreeSet<String>>,
 }
 
 impl ControlMetadata {
     /// Returns true if exactly this order to give up a group was carried out.
-    pub fn has_given_up(&self, order: &GiveUp) -> bool {
+    pub fn has_given_up(&self, order: &GiveUpRequest) -> bool {
         self.given_up.iter().any(|given_up| given_up.order == *order)
     }
 
@@ -92,7 +94,7 @@
     }
 
     /// Returns the records of a group having been given up, oldest first.
-    pub fn given_up_records(&self, group: GroupNumber) -> Vec<GivenUp> {
+    pub fn given_up_records(&self, group: GroupNumber) -> Vec<GiveUpRecord> {
         self.given_up.iter().filter(|given_up| given_up.order.group == group).cloned().collect()
     }
 }
@@ -156,7 +158,7 @@
     /// Replaces a group by an empty one, as an operator ordered.
     GiveUp {
         /// The operator's order and its effect, for the record.
-        given_up: GivenUp,
+        given_up: GiveUpRecord,
         /// The store view in which the group starts again.
         stores: StoreView,
     },
--- a/crates/control-plane/src/store/catch_up.rs
+++ b/crates/control-plane/src/store/catch_up.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::{GroupNumber, StoreNumber, StoreView};
-use fennelgauge_replication::{Confirmation, EntryPosition, Outcome, Role, CONFIRM_WITHIN};
+use fennelgauge_replication::{Confirmation, ConfirmationStatus, EntryPosition, Role, CONFIRM_TIMEOUT};
 use fennelgauge_wire::{StoreReply, StoreRequest};
 use futures_util::future::join_all;
 use tokio::time::{timeout, Instant};
@@ -33,7 +33,8 @@
             let view = self.view();
             let roles: Vec<(GroupNumber, Role)> =
                 GroupNumber::all().filter_map(|group| Some((group, self.role(&view, group)?))).collect();
-            let is_behind = |group: &GroupNumber, role: &Role| !self.replica(*group).borrow().is_level(role);
+            let is_behind =
+                |group: &GroupNumber, role: &Role| !self.replica(*group).borrow().is_caught_up(role);
             behind_since.retain(|group, _| roles.iter().any(|(of, role)| of == group && is_behind(of, role)));
             let mut requests: BTreeMap<SocketAddr, Vec<GroupNumber>> = BTreeMap::new();
             for (group, role) in &roles {
@@ -64,7 +65,7 @@
             .filter(|(group, role)| {
                 role.joining_since.is_some() && !self.held_groups.borrow().contains_key(group)
             })
-            .filter(|(group, role)| self.replica(*group).borrow().is_level(role))
+            .filter(|(group, role)| self.replica(*group).borrow().is_caught_up(role))
             .collect();
         let confirmed = candidates.into_iter().map(|(group, role)| async move {
             self.confirm_up_to_date(view, *group, role).await.then_some(*group)
@@ -95,7 +96,7 @@
     /// Takes over a group if this store is its head. If the group was given up, replaces it by an empty one, writes that to
     /// the disk and stops the group's running items.
     pub(super) fn lead_if_head(self: &Rc<Self>, role: &Role, group: GroupNumber) {
-        let recreated = self.replica(group).borrow_mut().lead(group, role);
+        let recreated = self.replica(group).borrow_mut().become_head(group, role);
         let Some(copy) = recreated else { return };
         log::error!(
             "group {} was given up by an operator: it starts again empty, its batch jobs are lost",
@@ -107,7 +108,7 @@
         let store = self.clone();
         tokio::task::spawn_local(async move {
             if written.await {
-                store.replica(group).borrow_mut().mark_synced(end);
+                store.replica(group).borrow_mut().mark_durable(end);
                 store.group_changed.notify_waiters();
             }
         });
@@ -122,7 +123,7 @@
     ) -> Vec<(StoreNumber, Option<EntryPosition>)> {
         let positions = links.iter().map(|link| async move {
             let request = StoreRequest::Position { epoch: view.epoch, group };
-            match self.call_store(self.store_address(view, *link)?, request, CONFIRM_WITHIN).await {
+            match self.call_store(self.store_address(view, *link)?, request, CONFIRM_TIMEOUT).await {
                 Some(StoreReply::Position(position)) => Some(position),
                 _ => None,
             }
@@ -138,14 +139,14 @@
         group: GroupNumber,
         role: &Role,
     ) -> bool {
-        let until = Instant::now() + CONFIRM_WITHIN;
+        let until = Instant::now() + CONFIRM_TIMEOUT;
         self.lead_if_head(role, group);
         let mut confirmation = Confirmation::new(role);
         for (link, position) in self.query_positions(view, group, &role.others).await {
-            confirmation.hear(link, position);
+            confirmation.record_answer(link, position);
         }
-        let outcome = || confirmation.outcome(&self.replica(group).borrow());
-        self.wait_until(until, || outcome() != Outcome::Waits).await;
-        outcome() == Outcome::Certain
+        let status = || confirmation.status(&self.replica(group).borrow());
+        self.wait_until(until, || status() != ConfirmationStatus::Pending).await;
+        status() == ConfirmationStatus::Confirmed
     }
 }
--- a/crates/control-plane/src/store/heartbeat.rs
+++ b/crates/control-plane/src/store/heartbeat.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Heard, Told};
+use fennelgauge_coordination::{GroupConfirmation, GroupNumber, StoreReport};
 use fennelgauge_wire::{Request, StoreHeartbeat};
 use tokio::time::{sleep, timeout};
 
@@ -33,10 +33,10 @@
             }
             let Some(view) = self.known.view() else { continue };
             let Some(head) = view.head() else { continue };
-            let store = Heard {
+            let store = StoreReport {
                 member: self.me.clone(),
-                copied: group_epochs(&self.learned_groups.borrow()),
-                holds: group_epochs(&self.held_groups.borrow()),
+                copied_groups: group_epochs(&self.learned_groups.borrow()),
+                held_groups: group_epochs(&self.held_groups.borrow()),
             };
             let entries = if round % ENTRY_COUNT_PERIOD == 0 { self.entry_counts() } else { Vec::new() };
             let accepted = reported_jobs.unreported(&self, view.epoch);
@@ -100,6 +100,6 @@
 }
 
 /// Converts groups and their view epochs to the form that a heartbeat has.
-fn group_epochs(groups: &BTreeMap<GroupNumber, u64>) -> Vec<Told> {
-    groups.iter().map(|(group, epoch)| Told { group: *group, epoch: *epoch }).collect()
+fn group_epochs(groups: &BTreeMap<GroupNumber, u64>) -> Vec<GroupConfirmation> {
+    groups.iter().map(|(group, epoch)| GroupConfirmation { group: *group, epoch: *epoch }).collect()
 }
--- a/crates/control-plane/src/store/item_run.rs
+++ b/crates/control-plane/src/store/item_run.rs
@@ -10,8 +10,8 @@
 use fennelgauge_batch::{Item, ItemOutcome, ItemResult};
 use fennelgauge_model::{stable_fraction, Route};
 use fennelgauge_upstream::{
-    is_hop_by_hop, Answer, Demand, EventOrder, EventReader, Outgoing, SendError, Ticket, LAST_EVENT_ID,
-    PREFIX_HASH, PRIORITY, TENANT,
+    is_hop_by_hop, EventOrder, EventParser, InFlightGuard, OutgoingRequest, RequestProfile, SendError,
+    UpstreamResponse, LAST_EVENT_ID, PREFIX_HASH, PRIORITY, TENANT,
 };
 use tokio::time::{sleep, timeout, Instant};
 
@@ -91,7 +91,7 @@
                 sleep(RETRY_DELAY).await;
                 continue;
             };
-            let outgoing = outgoing(&item, &tenant, &host, event_order.last());
+            let outgoing = outgoing(&item, &tenant, &host, event_order.last_id());
             let started = Instant::now();
             match self.attempt(service, &ticket, &outgoing, &mut event_data, &mut event_order).await {
                 Attempt::Finished(ItemOutcome::Succeeded) => {
@@ -142,7 +142,7 @@
         if state.has_result[key.item_index as usize] {
             return None;
         }
-        let table = self.known.table()?;
+        let table = self.known.routing_table()?;
         let route = batch_route(&table, &state.job, &item);
         Some(UnfinishedItem {
             item,
@@ -157,8 +157,8 @@
     async fn attempt(
         &self,
         service: &str,
-        ticket: &Ticket,
-        outgoing: &Outgoing,
+        ticket: &InFlightGuard,
+        outgoing: &OutgoingRequest,
         event_data: &mut Vec<String>,
         event_order: &mut EventOrder,
     ) -> Attempt {
@@ -168,8 +168,8 @@
         let response = match sent {
             Ok(response) => response,
             Err(error) => {
-                self.pool.learn_failure(&ticket.server, &error);
-                if error == SendError::MayHaveRun {
+                self.pool.record_send_error(&ticket.server, &error);
+                if error == SendError::MayHaveExecuted {
                     log::info!(
                         "item {}: attempt at server {} failed: {error}",
                         outgoing.id,
@@ -179,7 +179,7 @@
                 return Attempt::Retry;
             }
         };
-        self.pool.learn(ticket, &response);
+        self.pool.record_response(ticket, &response);
         match response.status() {
             status if status.is_success() => read_events(response, event_data, event_order).await,
             StatusCode::UNPROCESSABLE_ENTITY => Attempt::Finished(ItemOutcome::DeadLettered),
@@ -191,20 +191,20 @@
 
 /// Collects the events of a response. If it breaks off, the events received whole are kept for the next attempt.
 async fn read_events(
-    mut response: Answer,
+    mut response: UpstreamResponse,
     event_data: &mut Vec<String>,
     event_order: &mut EventOrder,
 ) -> Attempt {
-    let mut reader = EventReader::default();
+    let mut reader = EventParser::default();
     loop {
         let chunk = match timeout(IDLE_TIMEOUT, response.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
-            Ok(None) if !reader.has_rest() => return Attempt::Finished(ItemOutcome::Succeeded),
+            Ok(None) if !reader.has_partial_event() => return Attempt::Finished(ItemOutcome::Succeeded),
             _ => return Attempt::Retry,
         };
         reader.push(&chunk);
         for event in reader.by_ref() {
-            if !event_order.take(&event) {
+            if !event_order.accept(&event) {
                 return Attempt::Retry;
             }
             event_data.push(event.data);
@@ -214,7 +214,7 @@
 
 /// Builds the request for an item: its own headers without those that describe a connection, a caller or a position in
 /// a stream, and the store's headers for tenant, priority and the event to resume after.
-fn outgoing(item: &Item, tenant: &str, host: &str, last_event: Option<u64>) -> Outgoing {
+fn outgoing(item: &Item, tenant: &str, host: &str, last_event: Option<u64>) -> OutgoingRequest {
     let set_by_store = [TENANT, PRIORITY, LAST_EVENT_ID];
     let mut headers: Vec<(HeaderName, HeaderValue)> = item
         .headers
@@ -231,7 +231,7 @@
     if let Some(last_event) = last_event {
         headers.push((LAST_EVENT_ID, HeaderValue::from(last_event)));
     }
-    Outgoing {
+    OutgoingRequest {
         method: Method::POST,
         path_and_query: item.path.clone(),
         host: host.to_owned(),
@@ -242,7 +242,7 @@
 }
 
 /// Returns what the choice of a server depends on: the hash of the item's prompt prefix, if the item has one.
-fn demand(item: &Item) -> Demand {
+fn demand(item: &Item) -> RequestProfile {
     let prefix = item.headers.iter().find(|(name, _)| PREFIX_HASH == name.to_ascii_lowercase().as_str());
-    Demand::of_item(prefix.map(|(_, value)| value.as_str()))
+    RequestProfile::for_batch_item(prefix.map(|(_, value)| value.as_str()))
 }
--- a/crates/control-plane/src/store/journal.rs
+++ b/crates/control-plane/src/store/journal.rs
@@ -8,7 +8,7 @@
 use super::counters::JournalCounters;
 use fennelgauge_coordination::GroupNumber;
 use fennelgauge_versions::{VersionDirectory, VersionName, VersionsError};
-use fennelgauge_wire::{decode, encode, Entry, GroupCopy};
+use fennelgauge_wire::{decode, encode, Entry, GroupSnapshot};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
@@ -25,7 +25,7 @@
         /// The group.
         group: GroupNumber,
         /// Its full state.
-        copy: GroupCopy,
+        copy: GroupSnapshot,
     },
 }
 
--- a/crates/control-plane/src/store/learner.rs
+++ b/crates/control-plane/src/store/learner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fennelgauge_coordination::GroupNumber;
-use fennelgauge_replication::{EntryPosition, Missing};
+use fennelgauge_replication::{CatchUp, EntryPosition};
 use fennelgauge_wire::{StoreReply, StoreRequest};
 use futures_util::future::join_all;
 use tokio::time::{timeout, Instant};
@@ -56,18 +56,18 @@
         match self.call_store(head, StoreRequest::FetchEntries { epoch, group, after }, FETCH_TIMEOUT).await {
             Some(StoreReply::Entries(batch)) => {
                 let missing_count = batch.entries.len();
-                let taken = self.replica(group).borrow_mut().learn(epoch, &batch);
+                let taken = self.replica(group).borrow_mut().append_as_learner(epoch, &batch);
                 if !taken.is_empty()
                     && !self.write_records(taken.into_iter().map(Record::Entry).collect()).await
                 {
                     return false;
                 }
                 let mut replica = self.replica(group).borrow_mut();
-                replica.mark_synced(batch.end);
-                replica.has_copied(batch.end, missing_count)
+                replica.mark_durable(batch.end);
+                replica.may_report_copied(batch.end, missing_count)
             }
             Some(StoreReply::Copy(copy)) => {
-                let installed = self.replica(group).borrow_mut().install(epoch, &copy);
+                let installed = self.replica(group).borrow_mut().install_snapshot(epoch, &copy);
                 self.write_installed(group, after, installed, &copy).await;
                 false
             }
@@ -86,14 +86,14 @@
         let view = self.wait_for_view(epoch).await;
         let role = view.and_then(|view| self.role(&view, group));
         let until = Instant::now() + SYNC_TIMEOUT;
-        let missing = self.replica(group).borrow().missing_for_learner(role.as_ref(), group, after);
+        let missing = self.replica(group).borrow().catch_up_for_learner(role.as_ref(), group, after);
         let Some(missing) = missing else { return StoreReply::EpochMismatch(self.view().epoch) };
         match missing {
-            Missing::Entries(batch) => match self.wait_synced(group, batch.end, until).await {
+            CatchUp::Entries(batch) => match self.wait_synced(group, batch.end, until).await {
                 true => StoreReply::Entries(batch),
                 false => StoreReply::Undetermined,
             },
-            Missing::Copy => match self.synced_copy(group, until).await {
+            CatchUp::Snapshot => match self.synced_copy(group, until).await {
                 Some(copy) => StoreReply::Copy(copy),
                 None => StoreReply::Undetermined,
             },
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -22,12 +22,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fennelgauge_coordination::{GroupNumber, Identity, Member, StoreNumber, StoreView, GROUPS, STORE_LEASE};
+use fennelgauge_coordination::{
+    GroupNumber, Identity, Member, StoreNumber, StoreView, GROUP_COUNT, STORE_LEASE_DURATION,
+};
 use fennelgauge_http::wait_for_shutdown_signal;
-use fennelgauge_replication::{Query, Replica, Role};
+use fennelgauge_replication::{ReadQuery, Replica, Role};
 use fennelgauge_settings::Settings;
 use fennelgauge_upstream::{
-    keep_reachable, share_uses, subscribe, wall_clock, Known, Pool, Sender, Subscription,
+    exchange_server_stats, probe_connections, subscribe, wall_clock, RequestSender, ServerPool, Subscription,
+    TierState,
 };
 use fennelgauge_wire::{serve, Caller, Entry, Reply, Request, StoreReply, StoreRequest};
 use tokio::net::TcpListener;
@@ -52,12 +55,12 @@
     me: Member,
     settings: Rc<Settings>,
     /// Configuration, server list and views that this process has.
-    known: Rc<Known>,
+    known: Rc<TierState>,
     caller: Caller,
     /// Servers that items can go to, and what is known of their load and health.
-    pool: Pool,
+    pool: ServerPool,
     /// Sends items to servers.
-    sender: Sender,
+    sender: RequestSender,
     journal: Journal,
     /// This store's replicas, by group number.
     groups: Vec<RefCell<Replica>>,
@@ -112,14 +115,14 @@
     spawn_local(store.clone().run_items());
     let incarnation = getrandom::u64().unwrap_or(1);
     let subscription = Subscription::new(&settings);
-    spawn_local(share_uses(
+    spawn_local(exchange_server_stats(
         store.pool.clone(),
         store.known.clone(),
         store.caller.clone(),
         subscription,
         incarnation,
     ));
-    spawn_local(keep_reachable(store.pool.clone(), store.sender.clone()));
+    spawn_local(probe_connections(store.pool.clone(), store.sender.clone()));
     wait_for_shutdown_signal().await;
     Ok(())
 }
@@ -128,7 +131,7 @@
 async fn answer(store: Rc<Store>, request: Request) -> Reply {
     match request {
         Request::Store(request) => Reply::Store(store.answer(request).await),
-        Request::Watch(watch) => Reply::Watch(Box::new(store.known.answer(&watch).await)),
+        Request::Watch(watch) => Reply::Watch(Box::new(store.known.wait_for_update(&watch).await)),
         _ => Reply::Unsupported,
     }
 }
@@ -137,12 +140,12 @@
     /// Opens the journal and restores the groups from its records.
     fn open(settings: Rc<Settings>, identity: Identity) -> anyhow::Result<Rc<Self>> {
         let (journal, records) = Journal::open(settings.data_dir.as_deref())?;
-        let mut groups: Vec<Replica> = (0..GROUPS).map(|_| Replica::default()).collect();
+        let mut groups: Vec<Replica> = (0..GROUP_COUNT).map(|_| Replica::default()).collect();
         for record in records {
             restore(&mut groups, record);
         }
         for replica in &mut groups {
-            replica.mark_synced(replica.position());
+            replica.mark_durable(replica.position());
         }
         let min_view_epoch = groups.iter().map(Replica::newest_epoch).max().unwrap_or(0);
         let groups = groups.into_iter().map(RefCell::new).collect();
@@ -150,8 +153,8 @@
         let me = Member { identity, peer, zone: settings.zone.clone(), region: settings.region.clone() };
         Ok(Rc::new(Self {
             me,
-            pool: Pool::new(&settings.zone, &settings.policy),
-            sender: Sender::new(&settings.policy),
+            pool: ServerPool::new(&settings.zone, &settings.policy),
+            sender: RequestSender::new(&settings.policy),
             caller: Caller::with_source(settings.peer_source_ip()),
             settings,
             known: Rc::default(),
@@ -187,7 +190,7 @@
                 self.cancel(epoch, group, &tenant, job).await
             }
             StoreRequest::ReadResults { epoch, group, tenant, job, start_after: start, wait_ms } => {
-                let query = Query { tenant, job, start };
+                let query = ReadQuery { tenant, job, start };
                 self.read_results(epoch, group, query, Duration::from_millis(wait_ms)).await
             }
             StoreRequest::ReadItemBody { epoch, group, tenant, job, item } => {
@@ -216,7 +219,7 @@
     /// restart, or if it has not heard from the core for so long that it may have been given up.
     fn view(&self) -> Rc<StoreView> {
         let view = self.known.stores();
-        let has_lease = self.known.confirmed_age().is_some_and(|age| age < STORE_LEASE);
+        let has_lease = self.known.view_confirmation_age().is_some_and(|age| age < STORE_LEASE_DURATION);
         match has_lease && view.epoch >= self.min_view_epoch {
             true => view,
             false => Rc::default(),
@@ -287,7 +290,7 @@
     fn write_checkpoint(&self) -> tokio::sync::oneshot::Receiver<bool> {
         let snapshots: Vec<Record> = GroupNumber::all()
             .filter(|group| self.replica(*group).borrow().position().sequence > 0)
-            .map(|group| Record::Snapshot { group, copy: self.replica(group).borrow().copy() })
+            .map(|group| Record::Snapshot { group, copy: self.replica(group).borrow().snapshot() })
             .collect();
         self.checkpoint_size.set(snapshots.iter().map(record_size).sum());
         self.bytes_since_checkpoint.set(0);
@@ -310,7 +313,7 @@
                 continue;
             }
             for (group, position) in GroupNumber::all().zip(positions) {
-                self.replica(group).borrow_mut().mark_synced(position);
+                self.replica(group).borrow_mut().mark_durable(position);
             }
             self.group_changed.notify_waiters();
         }
@@ -322,7 +325,7 @@
     match record {
         Record::Entry(entry) => {
             let Some(replica) = groups.get_mut(usize::from(entry.group.0)) else { return };
-            if !replica.restore(&entry) {
+            if !replica.restore_entry(&entry) {
                 log::error!(
                     "group {}: journal entry at {:?} skipped: it does not follow the entry before it or cannot be decoded",
                     entry.group.0,
@@ -332,7 +335,7 @@
         }
         Record::Snapshot { group, copy } => {
             let Some(replica) = groups.get_mut(usize::from(group.0)) else { return };
-            if !replica.restore_copy(&copy) {
+            if !replica.restore_snapshot(&copy) {
                 log::error!(
                     "group {}: journal snapshot at {:?} skipped: it cannot be decoded",
                     group.0,
--- a/crates/control-plane/src/store/replication.rs
+++ b/crates/control-plane/src/store/replication.rs
@@ -10,9 +10,11 @@
 
 use fennelgauge_batch::Command;
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{Care, Fate, Installed, Onward, Repair, RepairStep, Role};
+use fennelgauge_replication::{
+    EntryStatus, ForwardTarget, InstallResult, Repair, RepairStep, RepairUrgency, Role,
+};
 use fennelgauge_wire::{
-    Entry, EntryBatch, EntryPosition, GroupCopy, Reply, Request, StoreReply, StoreRequest,
+    Entry, EntryBatch, EntryPosition, GroupSnapshot, Reply, Request, StoreReply, StoreRequest,
 };
 use futures_util::future::join_all;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
@@ -46,7 +48,7 @@
             _ => 0,
         };
         self.entry_counters.record(results);
-        let entry = self.replica(group).borrow_mut().create(group, view.epoch, command);
+        let entry = self.replica(group).borrow_mut().create_entry(group, view.epoch, command);
         let position = entry.position;
         self.pending_entries.borrow_mut().push(entry);
         self.flush_requested.notify_one();
@@ -81,7 +83,7 @@
             groups.entry(entry.group).or_default().push(entry);
         }
         let batch =
-            |(group, entries): (GroupNumber, _)| self.replica(group).borrow().batch_of(group, entries);
+            |(group, entries): (GroupNumber, _)| self.replica(group).borrow().batch_from(group, entries);
         groups.into_iter().filter_map(batch).collect()
     }
 
@@ -97,7 +99,7 @@
             return Vec::new();
         }
         for batch in &batches {
-            self.replica(batch.group).borrow_mut().mark_synced(batch.end);
+            self.replica(batch.group).borrow_mut().mark_durable(batch.end);
         }
         self.group_changed.notify_waiters();
         let view = self.view();
@@ -110,11 +112,11 @@
         for batch in batches {
             let group = batch.group;
             let Some(role) = self.role(&view, group) else { continue };
-            let next = self.replica(group).borrow().onward(&role, batch.end);
+            let next = self.replica(group).borrow().forward_target(&role, batch.end);
             match next {
-                Onward::Nowhere => continue,
-                Onward::Everywhere => replicated.push((group, batch.end)),
-                Onward::To(successor) => {
+                ForwardTarget::Blocked => continue,
+                ForwardTarget::EndOfChain => replicated.push((group, batch.end)),
+                ForwardTarget::Successor(successor) => {
                     let Some(peer) = self.store_address(&view, successor) else { continue };
                     outgoing.entry(peer).or_default().push(batch);
                 }
@@ -125,7 +127,7 @@
         replicated.extend(join_all(calls).await.into_iter().flatten());
         for (group, end) in &replicated {
             if let Some(role) = roles.get(group) {
-                self.replica(*group).borrow_mut().mark_reached(role, *end);
+                self.replica(*group).borrow_mut().mark_replicated(role, *end);
             }
         }
         self.group_changed.notify_waiters();
@@ -172,9 +174,9 @@
         let mut records = Vec::new();
         for batch in batches {
             let role = self.role(&view, batch.group);
-            let followed = self.replica(batch.group).borrow_mut().append(role.as_ref(), &batch);
-            records.extend(followed.taken.into_iter().map(Record::Entry));
-            if followed.is_level {
+            let followed = self.replica(batch.group).borrow_mut().append_as_link(role.as_ref(), &batch);
+            records.extend(followed.appended.into_iter().map(Record::Entry));
+            if followed.is_caught_up {
                 to_forward.push(batch);
             }
         }
@@ -186,7 +188,7 @@
     /// Replies with this store's position in a group, if the view with this epoch is its newest and has it in the chain.
     pub(super) async fn position_in_view(&self, epoch: u64, group: GroupNumber) -> StoreReply {
         let role = self.wait_for_view(epoch).await.and_then(|view| self.role(&view, group));
-        let position = self.replica(group).borrow().position_as(role.as_ref());
+        let position = self.replica(group).borrow().position_in_role(role.as_ref());
         position.map_or_else(|| StoreReply::EpochMismatch(self.view().epoch), StoreReply::Position)
     }
 
@@ -195,14 +197,14 @@
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
-        copy: &GroupCopy,
+        copy: &GroupSnapshot,
     ) -> StoreReply {
         let Some(view) = self.wait_for_view(epoch).await else {
             return StoreReply::EpochMismatch(self.view().epoch);
         };
         let role = self.role(&view, group);
         let before = self.replica(group).borrow().position();
-        let installed = self.replica(group).borrow_mut().install_as_link(role.as_ref(), copy);
+        let installed = self.replica(group).borrow_mut().install_snapshot_as_link(role.as_ref(), copy);
         match self.write_installed(group, before, installed, copy).await {
             true => StoreReply::Installed,
             false => StoreReply::Undetermined,
@@ -210,8 +212,8 @@
     }
 
     /// Returns a copy of a group once all of it is on this disk, or `None` if that takes too long.
-    pub(super) async fn synced_copy(&self, group: GroupNumber, until: Instant) -> Option<GroupCopy> {
-        let copy = self.replica(group).borrow().copy();
+    pub(super) async fn synced_copy(&self, group: GroupNumber, until: Instant) -> Option<GroupSnapshot> {
+        let copy = self.replica(group).borrow().snapshot();
         self.wait_synced(group, copy.position, until).await.then_some(copy)
     }
 
@@ -221,19 +223,19 @@
         &self,
         group: GroupNumber,
         before: EntryPosition,
-        installed: Installed,
-        copy: &GroupCopy,
+        installed: InstallResult,
+        copy: &GroupSnapshot,
     ) -> bool {
         let number = group.0;
         match installed {
-            Installed::Yes { drops_shown: Some(shown) } => log::error!(
+            InstallResult::Installed { lost_read: Some(shown) } => log::error!(
                 "group {number}: a copy up to {:?} lacks the entry at {shown:?}, which a reader was shown here: this is a fault of replication, report it with the logs of all stores",
                 copy.position
             ),
-            Installed::Yes { drops_shown: None } => {
+            InstallResult::Installed { lost_read: None } => {
                 log::info!("group {number}: replica changed from {before:?} to a copy up to {:?}", copy.position);
             }
-            Installed::Unreadable | Installed::Outdated | Installed::NotALink => {
+            InstallResult::Corrupt | InstallResult::Outdated | InstallResult::NotInChain => {
                 log::info!("group {number}: a copy up to {:?} is not installed: {installed:?}", copy.position);
                 return false;
             }
@@ -241,7 +243,7 @@
         if !self.write_records(vec![Record::Snapshot { group, copy: copy.clone() }]).await {
             return false;
         }
-        self.replica(group).borrow_mut().mark_synced(copy.position);
+        self.replica(group).borrow_mut().mark_durable(copy.position);
         self.group_changed.notify_waiters();
         true
     }
@@ -253,13 +255,13 @@
         entry: EntryPosition,
         until: Instant,
     ) -> bool {
-        let fate = || self.replica(group).borrow().fate(entry);
-        self.wait_until(until, || fate() != Fate::InDoubt).await && fate() == Fate::Committed
+        let fate = || self.replica(group).borrow().entry_status(entry);
+        self.wait_until(until, || fate() != EntryStatus::Pending).await && fate() == EntryStatus::Committed
     }
 
     /// Waits until an entry is on this disk. Returns false if the time is up.
     pub(super) async fn wait_synced(&self, group: GroupNumber, entry: EntryPosition, until: Instant) -> bool {
-        self.wait_until(until, || self.replica(group).borrow().has_on_disk(entry)).await
+        self.wait_until(until, || self.replica(group).borrow().is_durable(entry)).await
     }
 
     /// Waits until a condition that depends on the replicas holds. Returns false if it does not hold by `until`.
@@ -291,13 +293,13 @@
                     continue;
                 };
                 let checked = self.caught_up_successors.borrow().get(&group).copied();
-                let care = self.replica(group).borrow().care(&role, checked);
-                if care == Care::Needless {
+                let care = self.replica(group).borrow().repair_urgency(&role, checked);
+                if care == RepairUrgency::NotNeeded {
                     uncommitted_since.remove(&group);
                     continue;
                 }
                 let since = *uncommitted_since.entry(group).or_insert_with(Instant::now);
-                if care == Care::Now || since.elapsed() > REPAIR_DELAY {
+                if care == RepairUrgency::Immediate || since.elapsed() > REPAIR_DELAY {
                     repairs.push((group, peer));
                 }
             }
@@ -320,7 +322,7 @@
                 Some(StoreReply::Position(position)) => Some(position),
                 _ => None,
             };
-        let mut step = repair.heard_position(&self.replica(group).borrow(), position);
+        let mut step = repair.on_position(&self.replica(group).borrow(), position);
         let until = Instant::now() + APPEND_TIMEOUT;
         loop {
             step = match step {
@@ -337,14 +339,14 @@
                     let install = StoreRequest::InstallCopy { epoch, group, copy };
                     let reply = self.call_store(peer, install, INSTALL_TIMEOUT).await;
                     let role = self.role(&self.view(), group);
-                    repair.heard_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
+                    repair.on_installed(role.as_ref(), matches!(reply, Some(StoreReply::Installed)))
                 }
                 RepairStep::Append(batch) => {
                     let replicated = !self.forward(peer, epoch, vec![batch]).await.is_empty();
-                    repair.heard_appended(replicated)
+                    repair.on_appended(replicated)
                 }
-                RepairStep::Reached(role, end) => {
-                    self.replica(group).borrow_mut().mark_reached(&role, end);
+                RepairStep::Replicated(role, end) => {
+                    self.replica(group).borrow_mut().mark_replicated(&role, end);
                     self.group_changed.notify_waiters();
                     return true;
                 }
@@ -358,7 +360,7 @@
         loop {
             let changed = self.group_changed.notified();
             let role = self.role(&self.view(), repair.group);
-            let step = repair.look(&self.replica(repair.group).borrow(), role.as_ref());
+            let step = repair.poll(&self.replica(repair.group).borrow(), role.as_ref());
             if step != RepairStep::Wait {
                 return Some(step);
             }
--- a/crates/control-plane/src/store/runner.rs
+++ b/crates/control-plane/src/store/runner.rs
@@ -10,7 +10,7 @@
 use fennelgauge_batch::{Command, Item, ItemResult, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
 use fennelgauge_model::{stable_fraction, Route, RouteKind, RoutingTable};
-use fennelgauge_upstream::{Answer, SendError};
+use fennelgauge_upstream::{SendError, UpstreamResponse};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -104,7 +104,7 @@
             self.stop_items_of_lost_groups(&view);
             if last_housekeeping.elapsed() >= POLL_INTERVAL {
                 last_housekeeping = Instant::now();
-                self.sender.keep_only(&self.known.servers().servers);
+                self.sender.retain_servers(&self.known.servers().servers);
                 self.remove_expired_jobs(&view);
             }
             let mut candidates = self.candidates(&view);
@@ -159,7 +159,12 @@
 
     /// Adapts the concurrency limit of a service to the outcome of an attempt: the response began after `wait`, or the
     /// server refused the item because it is overloaded.
-    pub(super) fn update_concurrency(&self, service: &str, sent: &Result<Answer, SendError>, wait: Duration) {
+    pub(super) fn update_concurrency(
+        &self,
+        service: &str,
+        sent: &Result<UpstreamResponse, SendError>,
+        wait: Duration,
+    ) {
         let capacity = self.service_capacity(service);
         let max_wait = self.max_queue_wait(service);
         let mut concurrency_windows = self.concurrency_windows.borrow_mut();
@@ -177,10 +182,10 @@
     /// and have to answer within their target time. Servers that report their load serve items behind interactive
     /// requests, so there the wait is not limited and the load is watched instead.
     fn max_queue_wait(&self, service: &str) -> Duration {
-        if self.pool.tells_load(service) {
+        if self.pool.has_reported_load(service) {
             return Duration::MAX;
         }
-        let Some(table) = self.known.table() else { return Duration::MAX };
+        let Some(table) = self.known.routing_table() else { return Duration::MAX };
         let interactive = table.configuration.routes.iter().filter(|route| {
             route.kind != RouteKind::Batch
                 && route.target_ms > 0
@@ -194,14 +199,14 @@
 
     /// Returns the waiting items of all groups that this store may change.
     fn candidates(&self, view: &StoreView) -> Vec<Candidate> {
-        let Some(table) = self.known.table() else { return Vec::new() };
+        let Some(table) = self.known.routing_table() else { return Vec::new() };
         let running = self.running.borrow();
         let now_ms = wall_clock_ms();
         let run_durations = self.run_durations.borrow();
         let mut candidates = Vec::new();
         for group in self.writable_groups(view) {
             let replica = self.replica(group).borrow();
-            if replica.knows_nothing_committed() {
+            if replica.commit_position_unknown() {
                 continue;
             }
             for state in replica.state().jobs().filter(|state| !state.is_complete()) {
@@ -251,7 +256,7 @@
         if state.has_result[key.item_index as usize] {
             return None;
         }
-        let route = batch_route(&*self.known.table()?, &state.job, item);
+        let route = batch_route(&*self.known.routing_table()?, &state.job, item);
         Some(route.map_or(String::new(), |route| route.pick_service(stable_fraction(&item.id)).to_owned()))
     }
 
--- a/crates/control-plane/src/store/serving.rs
+++ b/crates/control-plane/src/store/serving.rs
@@ -5,7 +5,7 @@
 
 use fennelgauge_batch::{Command, Job};
 use fennelgauge_coordination::{GroupNumber, StoreView};
-use fennelgauge_replication::{Ending, Query, ReadStep, Reading, Role, Submission};
+use fennelgauge_replication::{EndDecision, ReadOperation, ReadQuery, ReadStep, Role, SubmissionDecision};
 use fennelgauge_wire::StoreReply;
 use tokio::time::{timeout_at, Instant};
 
@@ -25,17 +25,18 @@
     ) -> StoreReply {
         let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
-        let submission = self.replica(group).borrow().submission(role.as_ref(), &job, max_queued_tokens);
+        let submission =
+            self.replica(group).borrow().decide_submission(role.as_ref(), &job, max_queued_tokens);
         let entry = match submission {
-            Submission::NotTaken => return StoreReply::NotAccepted,
-            Submission::OverQuota => return StoreReply::OverQuota,
-            Submission::GivenUp => return StoreReply::GivenUp,
-            Submission::Known(entry) => entry,
-            Submission::New if self.has_room(&job) => {
+            SubmissionDecision::NotWritable => return StoreReply::NotAccepted,
+            SubmissionDecision::OverQuota => return StoreReply::OverQuota,
+            SubmissionDecision::GivenUp => return StoreReply::GivenUp,
+            SubmissionDecision::AlreadyAccepted(entry) => entry,
+            SubmissionDecision::Accept if self.has_room(&job) => {
                 self.accepted_here.borrow_mut().insert(job.id.clone(), group);
                 self.append_command(&view, group, Command::Accept(job))
             }
-            Submission::New => return StoreReply::NotAccepted,
+            SubmissionDecision::Accept => return StoreReply::NotAccepted,
         };
         match self.wait_committed(group, entry, Instant::now() + COMMIT_TIMEOUT).await {
             true => StoreReply::Accepted,
@@ -46,7 +47,7 @@
     /// Returns true if this store is the group's head, enough stores hold the group, and the group here is not one that was
     /// given up.
     pub(super) fn accepts_changes(&self, view: &StoreView, group: GroupNumber) -> bool {
-        self.replica(group).borrow().takes_changes(self.role(view, group).as_ref())
+        self.replica(group).borrow().accepts_writes(self.role(view, group).as_ref())
     }
 
     /// Returns true if memory and disk have room for another batch job. The journal may take a third of the
@@ -69,12 +70,12 @@
     ) -> StoreReply {
         let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::NotAccepted };
         let role = self.role(&view, group);
-        let ending = self.replica(group).borrow().ending(role.as_ref(), tenant, &job);
+        let ending = self.replica(group).borrow().decide_end(role.as_ref(), tenant, &job);
         let entry = match ending {
-            Ending::NotTaken => return StoreReply::NotAccepted,
-            Ending::NotHere => return self.unknown_job_reply(&view, group, &job).await,
-            Ending::Known(entry) => entry,
-            Ending::New => {
+            EndDecision::NotWritable => return StoreReply::NotAccepted,
+            EndDecision::NotFound => return self.unknown_job_reply(&view, group, &job).await,
+            EndDecision::AlreadyEnded(entry) => entry,
+            EndDecision::End => {
                 let entry = self.append_command(&view, group, Command::Cancel { job: job.clone() });
                 self.stop_items(group, &job);
                 entry
@@ -105,23 +106,23 @@
         self: &Rc<Self>,
         epoch: u64,
         group: GroupNumber,
-        query: Query,
+        query: ReadQuery,
         hold: Duration,
     ) -> StoreReply {
         let started = Instant::now();
         let Some(view) = self.wait_for_view(epoch).await else { return StoreReply::Undetermined };
         let (job, start) = (query.job.clone(), query.start);
-        let Some(mut reading) = Reading::new(self.role(&view, group), query, hold) else {
+        let Some(mut reading) = ReadOperation::new(self.role(&view, group), query, hold) else {
             return StoreReply::Undetermined;
         };
-        for (link, position) in self.query_positions(&view, group, reading.links()).await {
-            reading.hear(link, position);
+        for (link, position) in self.query_positions(&view, group, reading.confirming_links()).await {
+            reading.record_answer(link, position);
         }
         loop {
             let (group_changed, update) = (self.group_changed.notified(), self.known.changed());
             let step = {
                 let mut replica = self.replica(group).borrow_mut();
-                reading.look(&mut replica, self.view().epoch, started.elapsed())
+                reading.poll(&mut replica, self.view().epoch, started.elapsed())
             };
             match step {
                 ReadStep::Wait(until) => {
@@ -141,7 +142,7 @@
                 }
                 ReadStep::NotFound => return StoreReply::NotFound,
                 ReadStep::GivenUp => return StoreReply::GivenUp,
-                ReadStep::Unsure => return StoreReply::Undetermined,
+                ReadStep::Undetermined => return StoreReply::Undetermined,
             }
         }
     }
@@ -169,7 +170,7 @@
     /// chain of enough stores, and has all that the head has.
     async fn can_answer_reads(self: &Rc<Self>, epoch: u64, group: GroupNumber) -> bool {
         let Some(view) = self.wait_for_view(epoch).await else { return false };
-        match self.role(&view, group).filter(Role::answers_reads) {
+        match self.role(&view, group).filter(Role::serves_reads) {
             Some(role) => self.confirm_up_to_date(&view, group, &role).await,
             None => false,
         }
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -29,7 +29,7 @@
 /// Returns a group with one accepted job for each id, and the journal records of its entries.
 fn group_with_jobs(ids: &[&str]) -> (Replica, Vec<Record>) {
     let mut group = Replica::default();
-    let records = ids.iter().map(|id| Record::Entry(group.create(GROUP, 1, accept(id)))).collect();
+    let records = ids.iter().map(|id| Record::Entry(group.create_entry(GROUP, 1, accept(id)))).collect();
     (group, records)
 }
 
@@ -44,7 +44,7 @@
     }
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
     assert_eq!(found.len(), 3);
-    let checkpoint = [Record::Snapshot { group: GROUP, copy: group.copy() }];
+    let checkpoint = [Record::Snapshot { group: GROUP, copy: group.snapshot() }];
     assert_eq!(journal.write(&checkpoint, true).blocking_recv(), Ok(true));
     let (_, found) = Journal::open(Some(&path)).expect("a journal");
     let [Record::Snapshot { copy, .. }] = found.as_slice() else {
@@ -70,7 +70,7 @@
         "a record before it is missing"
     );
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(false));
-    let checkpoint = [Record::Snapshot { group: GROUP, copy: group.copy() }];
+    let checkpoint = [Record::Snapshot { group: GROUP, copy: group.snapshot() }];
     assert_eq!(journal.write(&checkpoint, true).blocking_recv(), Ok(true));
     assert_eq!(journal.write(&[], false).blocking_recv(), Ok(true));
     std::fs::remove_dir_all(path).expect("removed");
--- a/crates/control-plane/src/store/tests/stable_reads.rs
+++ b/crates/control-plane/src/store/tests/stable_reads.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use fennelgauge_batch::{Command, Item, ItemOutcome, ItemResult, Job, Page};
-use fennelgauge_coordination::{Group, Newcomer, StoreNumber};
+use fennelgauge_coordination::{Assignment, Group, StoreNumber};
 use fennelgauge_wire::EntryBatch;
 use tokio::task::LocalSet;
 
@@ -63,7 +63,7 @@
 /// Returns a view in which all groups have the same chain and learner.
 fn view(stores: &[RunningStore], epoch: u64, chain: &[u32], learner: Option<u32>) -> StoreView {
     let number = |number: &u32| StoreNumber(*number);
-    let newcomer = |store| Newcomer { store: StoreNumber(store), since: epoch };
+    let newcomer = |store| Assignment { store: StoreNumber(store), since_epoch: epoch };
     let unchanged_since = vec![epoch; chain.len()];
     let chain = chain.iter().map(number).collect();
     let group = Group { chain, unchanged_since, learner: learner.map(newcomer), ..Group::default() };
@@ -77,7 +77,7 @@
             retiring: false,
         });
     }
-    view.groups = vec![group; usize::from(GROUPS)];
+    view.groups = vec![group; usize::from(GROUP_COUNT)];
     view
 }
 
@@ -85,8 +85,8 @@
 fn publish_view(stores: &[RunningStore], to: &[usize], view: &StoreView) {
     for index in to {
         let known = &stores[*index].store.known;
-        known.take_confirmed(Duration::ZERO);
-        known.take_stores(view.clone());
+        known.update_view_confirmation(Duration::ZERO);
+        known.update_stores(view.clone());
     }
 }
 
@@ -185,11 +185,11 @@
         let shared = Command::Accept(job());
         let mut head = Replica::default();
         for replica in [&mut head, &mut *link.replica(GROUP).borrow_mut()] {
-            replica.create(GROUP, 1, shared.clone());
+            replica.create_entry(GROUP, 1, shared.clone());
         }
-        link.replica(GROUP).borrow_mut().create(GROUP, 1, record_result("made alone"));
-        let first = head.create(GROUP, 2, record_result("of the chain"));
-        let last = head.create(GROUP, 2, Command::Cancel { job: JOB.into() });
+        link.replica(GROUP).borrow_mut().create_entry(GROUP, 1, record_result("made alone"));
+        let first = head.create_entry(GROUP, 2, record_result("of the chain"));
+        let last = head.create_entry(GROUP, 2, Command::Cancel { job: JOB.into() });
         let batch =
             EntryBatch { group: GROUP, after: first.position, end: last.position, entries: vec![last] };
         let answer = link.answer(StoreRequest::Append { epoch: 2, batches: vec![batch] }).await;
@@ -207,7 +207,7 @@
     let folder = std::env::temp_dir().join(format!("fennelgauge-earlier-view-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mut replica = Replica::default();
-    let entry = replica.create(GROUP, 4, Command::Accept(job()));
+    let entry = replica.create_entry(GROUP, 4, Command::Accept(job()));
     let (journal, _) = Journal::open(Some(&folder)).expect("a journal");
     assert_eq!(journal.write(&[Record::Entry(entry)], false).blocking_recv(), Ok(true));
     drop(journal);
@@ -220,8 +220,8 @@
         for (published, expected) in [(3, 0), (4, 4), (5, 5)] {
             let mut view = StoreView::default();
             view.epoch = published;
-            store.known.take_confirmed(Duration::ZERO);
-            store.known.take_stores(view);
+            store.known.update_view_confirmation(Duration::ZERO);
+            store.known.update_stores(view);
             assert_eq!(store.view().epoch, expected, "view {published} is published");
         }
     });
