--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -16,8 +16,8 @@
     pub path: String,
     /// Request headers as name and value.
     pub headers: Vec<(String, String)>,
-    #[serde(with = "serde_bytes")]
     /// Request body; dropped once the item has a result or the job is cancelled.
+    #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
     /// Tokens of the prompt plus the largest number of tokens the response may have.
     pub tokens: u64,
--- a/crates/control-plane/src/operator/groups.rs
+++ b/crates/control-plane/src/operator/groups.rs
@@ -19,8 +19,8 @@
     view: u64,
     /// The holders as the operator saw them.
     holders: Vec<LastHolder>,
-    #[serde(default)]
     /// Whether to give up the group although its holders have not been silent for the usual time.
+    #[serde(default)]
     force: bool,
 }
 
@@ -43,11 +43,11 @@
     given_up: Vec<GivenUpBody>,
 }
 
-#[derive(Serialize)]
 /// A store that holds the group.
+#[derive(Serialize)]
 struct HolderBody {
     node: String,
-    /// Number of entries that it reported last; absent if it never reported one.
+    /// Number of entries that it reported last; null if it never reported one.
     entries: Option<u64>,
     /// Whether the store is live.
     heard: bool,
@@ -55,8 +55,8 @@
     silent_s: u64,
 }
 
-#[derive(Serialize)]
 /// A record of the group having been given up.
+#[derive(Serialize)]
 struct GivenUpBody {
     /// Epoch of the store view that the operator saw.
     view: u64,
