--- a/crates/control-plane/src/store/catch_up.rs
+++ b/crates/control-plane/src/store/catch_up.rs
@@ -145,8 +145,8 @@
         for (link, position) in self.query_positions(view, group, &role.others).await {
             confirmation.record_answer(link, position);
         }
-        let outcome = || confirmation.status(&self.replica(group).borrow());
-        self.wait_until(until, || outcome() != ConfirmationStatus::Pending).await;
-        outcome() == ConfirmationStatus::Confirmed
+        let status = || confirmation.status(&self.replica(group).borrow());
+        self.wait_until(until, || status() != ConfirmationStatus::Pending).await;
+        status() == ConfirmationStatus::Confirmed
     }
 }
