--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,48 +1,49 @@
-//! Who a member is: its place in the list, and which of its lives.
+//! Identity of a member: its index in the list and its generation.
 
-use crate::Number;
+use crate::MemberIndex;
 
-/// Lives are told in so many bits: milliseconds of Unix time until the year 10889.
-pub const LIFE_BITS: u32 = 48;
-/// A member in no zone, or of a zone that is not known.
+/// Width of a generation on the wire: enough for milliseconds of Unix time until the year 10889.
+pub const GENERATION_BITS: u32 = 48;
+/// Value of [`Identity::zone`] for a member without a zone or with an unknown one.
 pub const NO_ZONE: u8 = u8::MAX;
 
-/// A member in one of its lives. A restart at the same address is another life: news of the former one, however late,
-/// must not end the present one.
+/// One generation of a member. A restart at the same address begins a new generation, so that a late report about the
+/// previous one cannot declare the running process failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
-    pub number: Number,
-    /// Unix time of its start in milliseconds; raised where others know a later one.
-    pub life: u64,
-    /// Its place among the deployment's zones.
+    /// Position in the deployment's list.
+    pub index: MemberIndex,
+    /// Start time in milliseconds of Unix time; raised if other members know a later generation of this one.
+    pub generation: u64,
+    /// Index of its zone among the deployment's zones, or [`NO_ZONE`].
     pub zone: u8,
 }
 
 impl Identity {
-    /// Somebody at that place, in whichever life.
-    pub fn anybody(number: Number) -> Self {
-        Self { number, life: 0, zone: NO_ZONE }
+    /// Addresses a member whose generation is not known.
+    pub fn any_generation(index: MemberIndex) -> Self {
+        Self { index, generation: 0, zone: NO_ZONE }
     }
 
-    /// The same member in a life after `life`.
-    pub fn after(self, life: u64) -> Self {
-        Self { life: (life + 1).min((1 << LIFE_BITS) - 1), ..self }
+    /// Returns the same member with the generation that follows `generation`.
+    pub fn with_generation_after(self, generation: u64) -> Self {
+        Self { generation: (generation + 1).min((1 << GENERATION_BITS) - 1), ..self }
     }
 }
 
 impl foca::Identity for Identity {
-    type Addr = Number;
+    type Addr = MemberIndex;
 
-    /// One that was declared failed while it lived goes on as a new life.
+    /// Returns the identity under which a member continues that was declared failed while it ran.
     fn renew(&self) -> Option<Self> {
-        Some(self.after(self.life))
+        Some(self.with_generation_after(self.generation))
     }
 
-    fn addr(&self) -> Number {
-        self.number
+    fn addr(&self) -> MemberIndex {
+        self.index
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.life > adversary.life
+        self.generation > adversary.generation
     }
 }
