--- a/crates/control-plane/src/placement.rs
+++ b/crates/control-plane/src/placement.rs
@@ -36,7 +36,7 @@
     /// The newest heartbeat of each store, without stores known to be lost.
     stores: RefCell<HashMap<Identity, ReceivedHeartbeat>>,
     /// The last report of every store heard within [`LAST_REPORT_TTL`], also of silent ones.
-    last_reports: RefCell<HashMap<Identity, EntryCountReport>>,
+    last_reports: RefCell<HashMap<Identity, StoreEntryCounts>>,
     /// Ids of accepted batch jobs by group, the newest last.
     job_ids: RefCell<BTreeMap<GroupNumber, VecDeque<String>>>,
     /// Notified when a store is new or reports something new about its groups; used while a group is closed.
@@ -50,7 +50,7 @@
 }
 
 /// What a store reported last about its groups.
-struct EntryCountReport {
+struct StoreEntryCounts {
     /// When the store's last heartbeat arrived.
     at: Instant,
     /// Number of entries in each group.
@@ -78,7 +78,7 @@
             last_reports.retain(|_, report| report.at.elapsed() < LAST_REPORT_TTL);
             let report = last_reports
                 .entry(identity.clone())
-                .or_insert_with(|| EntryCountReport { at, entry_counts: HashMap::new() });
+                .or_insert_with(|| StoreEntryCounts { at, entry_counts: HashMap::new() });
             report.at = at;
             report.entry_counts.extend(entry_counts);
         }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -329,7 +329,10 @@
             let Some(replica) = groups.get_mut(usize::from(entry.group.0)) else { return };
             if !replica.restore_entry(&entry) {
                 log::error!(
-                    "group {}: journal entry at {:?} skipped: it does not follow the entry before it or cannot be decoded", entry.group.0, entry.position);
+                    "group {}: journal entry at {:?} skipped: it does not follow the entry before it or cannot be decoded",
+                    entry.group.0,
+                    entry.position
+                );
             }
         }
         Record::Snapshot { group, copy } => {
